--- a/src/ctl/client.cc
+++ b/src/ctl/client.cc
@@ -41,8 +41,8 @@
                    std::to_string(++commands_));
 }
 
-std::variant<io::HttpAnswer, Failure> Client::call(io::HttpRequest request,
-                                                   bool changes) {
+std::variant<io::HttpResponse, Failure> Client::call(io::HttpRequest request,
+                                                     bool changes) {
   if (daemons_.empty()) {
     return Failure{kBadInput, "no daemon named (--daemon IP:PORT)"};
   }
@@ -53,7 +53,7 @@
     if (round > 0) std::this_thread::sleep_for(kRetryPause);
     for (const Endpoint& daemon : daemons_) {
       io::HttpResult result = io::blocking_call(daemon, request, kCallLimit);
-      if (auto* answer = std::get_if<io::HttpAnswer>(&result)) {
+      if (auto* answer = std::get_if<io::HttpResponse>(&result)) {
         return std::move(*answer);
       }
       const auto& why = std::get<io::HttpFailure>(result);
@@ -66,9 +66,9 @@
 }
 
 Answer Client::take_answer(
-    const std::variant<io::HttpAnswer, Failure>& got) const {
+    const std::variant<io::HttpResponse, Failure>& got) const {
   if (const auto* failure = std::get_if<Failure>(&got)) return *failure;
-  const auto& answer = std::get<io::HttpAnswer>(got);
+  const auto& answer = std::get<io::HttpResponse>(got);
   auto decoded = codec::decode_answer(answer.body);
   if (ok(decoded)) return value(decoded);
   std::string text = without_line_end(answer.body);
@@ -89,7 +89,7 @@
 std::variant<InForce, Failure> Client::declarations() {
   auto got = call({"GET", "/declarations", {}, "", {}}, false);
   if (auto* failure = std::get_if<Failure>(&got)) return *failure;
-  const auto& answer = std::get<io::HttpAnswer>(got);
+  const auto& answer = std::get<io::HttpResponse>(got);
   auto version = io::number_header(answer.headers, "eelgrasspin-version");
   if (!version) {
     return Failure{kRefused, without_line_end(answer.body)};
--- a/src/ctl/client.h
+++ b/src/ctl/client.h
@@ -41,9 +41,9 @@
 
  private:
   /// Calls the daemons in turn until one answers.
-  std::variant<io::HttpAnswer, Failure> call(io::HttpRequest request,
-                                             bool changes);
-  Answer take_answer(const std::variant<io::HttpAnswer, Failure>& got) const;
+  std::variant<io::HttpResponse, Failure> call(io::HttpRequest request,
+                                               bool changes);
+  Answer take_answer(const std::variant<io::HttpResponse, Failure>& got) const;
 
   std::vector<Endpoint> daemons_;
   std::string token_;
--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -37,13 +37,13 @@
   return {AttemptUnknown{reason, connection_died}, nullptr};
 }
 
-Duration retry_after(const HttpAnswer& answer) {
+Duration retry_after(const HttpResponse& answer) {
   constexpr std::uint64_t kMaxSeconds = 3600;
   auto count = number_header(answer.headers, "retry-after");
   return seconds(std::min(count.value_or(0), kMaxSeconds));
 }
 
-AttemptReply read_answer(HttpAnswer answer) {
+AttemptReply read_answer(HttpResponse answer) {
   const std::string* refused =
       find_header(answer.headers, "eelgrasspin-refused");
   if (refused != nullptr && answer.status == kPreconditionFailed &&
@@ -230,7 +230,7 @@
       idle_.clear();
       finish(call, read_failure(*call, failure->kind));
     } else {
-      finish(call, read_answer(std::move(std::get<HttpAnswer>(result))));
+      finish(call, read_answer(std::move(std::get<HttpResponse>(result))));
     }
     serve();
   }
--- a/src/io/backend_control_http.cc
+++ b/src/io/backend_control_http.cc
@@ -12,7 +12,7 @@
   if (const auto* failure = std::get_if<HttpFailure>(&result)) {
     return GrantUnreachable{failure->kind == HttpFailureKind::kRefused};
   }
-  const auto& answer = std::get<HttpAnswer>(result);
+  const auto& answer = std::get<HttpResponse>(result);
   if (answer.status != kOk && answer.status != kConflict) {
     return GrantUnreachable{};
   }
--- a/src/io/backend_pool.cc
+++ b/src/io/backend_pool.cc
@@ -25,7 +25,7 @@
 constexpr double kForgottenShare = 0.5;
 constexpr Duration kForgottenMemory = seconds(10);
 
-Duration keep_time(const HttpAnswer& answer) {
+Duration keep_time(const HttpResponse& answer) {
   const std::string* field = find_header(answer.headers, "keep-alive");
   if (field == nullptr) return kDefaultKeep;
   constexpr std::string_view kName = "timeout=";
@@ -102,7 +102,7 @@
   learn_rest(busy, result);
   std::shared_ptr<HttpConnection> connection = std::move(busy.connection);
   std::vector<Idle>& kept = idle_[address];
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) {
     // The others may have gone silent as well.
     for (const Idle& idle : kept) idle.connection->close();
--- a/src/io/caller_http.cc
+++ b/src/io/caller_http.cc
@@ -84,20 +84,20 @@
   return result;
 }
 
-HttpAnswer to_caller(std::uint16_t status, const Payload& payload) {
-  HttpAnswer answer{status, payload.headers, payload.body, false};
+HttpResponse to_caller(std::uint16_t status, const Payload& payload) {
+  HttpResponse answer{status, payload.headers, payload.body, false};
   answer.headers.emplace_back("Eelgrasspin-Outcome",
                               to_string(Outcome::kAnswered));
   return answer;
 }
 
-HttpAnswer to_caller(Outcome outcome, Reason reason, Duration retry_after,
-                     RequestId request, const std::string& message) {
+HttpResponse to_caller(Outcome outcome, Reason reason, Duration retry_after,
+                       RequestId request, const std::string& message) {
   boost::json::object body = {{"outcome", to_string(outcome)},
                               {"reason", to_string(reason)},
                               {"request", request.value}};
   if (!message.empty()) body["message"] = message;
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.status = http_status(outcome, reason);
   answer.headers = {{"Content-Type", "application/json"},
                     {"Eelgrasspin-Outcome", std::string(to_string(outcome))},
@@ -118,7 +118,7 @@
                      Reason reason = status == kPayloadTooLarge
                                          ? Reason::kBodyTooLarge
                                          : Reason::kBadRequest;
-                     HttpAnswer answer =
+                     HttpResponse answer =
                          to_caller(Outcome::kNotRun, reason, Duration(0),
                                    RequestId(), why);
                      answer.status = status;
--- a/src/io/caller_http.h
+++ b/src/io/caller_http.h
@@ -29,10 +29,10 @@
     HttpRequest request);
 
 /// The answer of a backend server, marked as answered.
-HttpAnswer to_caller(std::uint16_t status, const Payload& payload);
+HttpResponse to_caller(std::uint16_t status, const Payload& payload);
 /// A refusal or unknown outcome. `request` 0 if the request got no id.
-HttpAnswer to_caller(Outcome outcome, Reason reason, Duration retry_after,
-                     RequestId request, const std::string& message = {});
+HttpResponse to_caller(Outcome outcome, Reason reason, Duration retry_after,
+                       RequestId request, const std::string& message = {});
 
 /// Port for callers.
 class CallerPort {
--- a/src/io/fleet_ports.h
+++ b/src/io/fleet_ports.h
@@ -19,7 +19,7 @@
 
 /// A server's answer, kept until its caller is sent it.
 struct ServerAnswer {
-  io::HttpAnswer http;
+  io::HttpResponse http;
 };
 
 }  // namespace eelgrasspin::fleet
@@ -125,14 +125,14 @@
   virtual HttpRequest to_server(const HttpRequest& request,
                                 const fleet::SendAttempt& attempt) const = 0;
   virtual bool belongs(const std::string& label,
-                       const HttpAnswer& answer) const = 0;
+                       const HttpResponse& answer) const = 0;
   /// What an answer says of the request that was sent.
-  virtual fleet::AttemptEnded classify(HttpAnswer answer) const = 0;
-  virtual HttpAnswer to_caller(const fleet::ServerAnswer& answer) const = 0;
+  virtual fleet::AttemptEnded classify(HttpResponse answer) const = 0;
+  virtual HttpResponse to_caller(const fleet::ServerAnswer& answer) const = 0;
   /// An answer of this system's own.
-  virtual HttpAnswer own_answer(const std::string& label, int status,
-                                Duration retry_after,
-                                std::string_view reason) const = 0;
+  virtual HttpResponse own_answer(const std::string& label, int status,
+                                  Duration retry_after,
+                                  std::string_view reason) const = 0;
 };
 
 }  // namespace eelgrasspin::io
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -213,7 +213,7 @@
   BackendPool::Call call{
       format_.to_server(open->second.exchange->request(), attempt),
       attempt.address, attempt.patience, attempt.repeatable,
-      [this, label](const HttpAnswer& answer) {
+      [this, label](const HttpResponse& answer) {
         return format_.belongs(label, answer);
       }};
   TimePoint sent = boot_now();
@@ -228,7 +228,7 @@
   using fleet::AttemptResult;
   calls_.erase(id);
   fleet::AttemptEnded ended;
-  if (auto* answer = std::get_if<HttpAnswer>(&result)) {
+  if (auto* answer = std::get_if<HttpResponse>(&result)) {
     ended = format_.classify(std::move(*answer));
   } else {
     const auto& failure = std::get<HttpFailure>(result);
@@ -252,7 +252,7 @@
   apply(ended);
 }
 
-void FleetShell::answer(RequestId request, HttpAnswer answer) {
+void FleetShell::answer(RequestId request, HttpResponse answer) {
   auto open = open_.find(request);
   if (open == open_.end()) return;
   Open ending = std::move(open->second);
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -57,7 +57,7 @@
   void on_exchange(const std::shared_ptr<HttpExchange>& exchange);
   void send_attempt(const fleet::SendAttempt& attempt);
   void end_attempt(AttemptId id, HttpResult result);
-  void answer(RequestId request, HttpAnswer answer);
+  void answer(RequestId request, HttpResponse answer);
   void send_datagrams(const std::string& text, const std::vector<Endpoint>& to);
   void receive_datagram();
   void on_datagram(std::size_t size);
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -216,7 +216,7 @@
 
   void finish() {
     auto message = parser_->release();
-    HttpAnswer answer{static_cast<int>(message.result_int()), {}, {}, false};
+    HttpResponse answer{static_cast<int>(message.result_int()), {}, {}, false};
     for (const auto& field : message.base()) {
       answer.headers.emplace_back(std::string(field.name_string()),
                                   std::string(field.value()));
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -33,10 +33,10 @@
   bool no_listener = false;
 };
 
-using HttpResult = std::variant<HttpAnswer, HttpFailure>;
+using HttpResult = std::variant<HttpResponse, HttpFailure>;
 using HttpCallback = std::function<void(HttpResult)>;
 /// Whether an answer belongs to the request that waits for one.
-using HttpAnswerCheck = std::function<bool(const HttpAnswer&)>;
+using HttpAnswerCheck = std::function<bool(const HttpResponse&)>;
 
 /// One HTTP/1.1 connection with at most one exchange at a time. Not thread
 /// safe.
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -37,7 +37,7 @@
         handler(std::move(handle)) {}
 
   void accept();
-  HttpAnswer refusal(int status, std::string why) const;
+  HttpResponse refusal(int status, std::string why) const;
 
   asio::io_context& io;
   tcp::acceptor acceptor;
@@ -104,7 +104,7 @@
         head_(head) {}
 
   HttpRequest& request() override { return request_; }
-  void answer(HttpAnswer answer) override;
+  void answer(HttpResponse answer) override;
   void on_gone(std::function<void()> gone) override {
     if (!ended_) gone_ = std::move(gone);
   }
@@ -117,7 +117,7 @@
     return std::exchange(gone_, nullptr);
   }
 
-  const std::optional<HttpAnswer>& ready() const { return ready_; }
+  const std::optional<HttpResponse>& ready() const { return ready_; }
   const std::optional<std::string>& raw() const { return raw_; }
   bool finished() const { return ready_ || raw_; }
   bool keep_alive() const { return keep_alive_; }
@@ -127,7 +127,7 @@
   std::weak_ptr<Connection> connection_;
   HttpRequest request_;
   std::function<void()> gone_;
-  std::optional<HttpAnswer> ready_;
+  std::optional<HttpResponse> ready_;
   std::optional<std::string> raw_;
   bool keep_alive_;
   bool head_;
@@ -325,7 +325,7 @@
   void refuse(int status, std::string why) {
     receiving_ = false;
     stop_parsing_ = true;
-    HttpAnswer refusal = server_->refusal(status, std::move(why));
+    HttpResponse refusal = server_->refusal(status, std::move(why));
     refusal.close = true;
     add({}, false, false)->answer(std::move(refusal));
   }
@@ -340,7 +340,7 @@
   void send(const Exchange& exchange) {
     if (silent_) return;
     writing_ = true;
-    const HttpAnswer& answer = *exchange.ready();
+    const HttpResponse& answer = *exchange.ready();
     auto held = std::make_shared<http::response<http::string_body>>();
     held->version(11);
     held->result(static_cast<unsigned>(answer.status));
@@ -416,7 +416,7 @@
   bool closed_ = false;
 };
 
-void Exchange::answer(HttpAnswer answer) {
+void Exchange::answer(HttpResponse answer) {
   if (ended_ || finished()) return;
   gone_ = nullptr;
   ready_ = std::move(answer);
@@ -449,7 +449,7 @@
   });
 }
 
-HttpAnswer HttpServer::Impl::refusal(int status, std::string why) const {
+HttpResponse HttpServer::Impl::refusal(int status, std::string why) const {
   if (options.refusal) return options.refusal(status, std::move(why));
   return {status, {{"Content-Type", "text/plain"}}, why + "\n"};
 }
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -20,7 +20,7 @@
   virtual ~HttpExchange() = default;
   virtual HttpRequest& request() = 0;
   /// Sends the answer; only the first call counts.
-  virtual void answer(HttpAnswer answer) = 0;
+  virtual void answer(HttpResponse answer) = 0;
   /// Called when the sender closes the connection before the answer. Attention:
   /// cleared by answer().
   virtual void on_gone(std::function<void()> gone) = 0;
@@ -39,7 +39,7 @@
   /// Longest time a connection stays open without a request.
   Duration idle_limit = config::kIdleConnectionLimit;
   /// Builds the answer to a request that is refused before it is whole.
-  std::function<HttpAnswer(int status, std::string why)> refusal;
+  std::function<HttpResponse(int status, std::string why)> refusal;
 };
 
 /// HTTP/1.1 server on one port. Not thread safe; lives on one io_context.
--- a/src/io/http_types.h
+++ b/src/io/http_types.h
@@ -23,7 +23,7 @@
   Endpoint remote;  ///< Who sent it; empty on the client side.
 };
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 200;
   HeaderFields headers;
   std::string body;
--- a/src/io/object_store_http.cc
+++ b/src/io/object_store_http.cc
@@ -18,11 +18,11 @@
   if (const auto* failure = std::get_if<HttpFailure>(&result)) {
     return StoreUnavailable{failure->why};
   }
-  return StoreUnavailable{"status " +
-                          std::to_string(std::get<HttpAnswer>(result).status)};
+  return StoreUnavailable{
+      "status " + std::to_string(std::get<HttpResponse>(result).status)};
 }
 
-std::optional<Version> version_header(const HttpAnswer& answer,
+std::optional<Version> version_header(const HttpResponse& answer,
                                       std::string_view name) {
   auto number = number_header(answer.headers, name);
   if (!number) return std::nullopt;
@@ -36,7 +36,7 @@
 }
 
 StoreResult read_answer(const StoreKey& key, const HttpResult& result) {
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) return unavailable(result);
   auto revision = version_header(*answer, "store-revision");
   if (!revision) return unavailable(result);
@@ -51,7 +51,7 @@
 }
 
 StoreResult write_answer(const StoreKey& key, const HttpResult& result) {
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) return unavailable(result);
   auto version = version_header(*answer, "store-version");
   if (!version) return unavailable(result);
@@ -79,7 +79,7 @@
 }
 
 StoreResult list_answer(const HttpResult& result) {
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr || answer->status != kOk) return unavailable(result);
   auto revision = version_header(*answer, "store-revision");
   if (!revision) return unavailable(result);
@@ -153,7 +153,7 @@
 void VmListHttp::list(Callback done) {
   client_.call({"GET", "/vms", {}, {}, {}}, config::kStoreTimeout,
                [done = std::move(done)](const HttpResult& result) {
-                 const auto* answer = std::get_if<HttpAnswer>(&result);
+                 const auto* answer = std::get_if<HttpResponse>(&result);
                  if (answer == nullptr || answer->status != kOk) {
                    return done(Error{ErrorCode::kUnavailable, "no VM list"});
                  }
--- a/src/io/operator_http.cc
+++ b/src/io/operator_http.cc
@@ -13,14 +13,14 @@
 constexpr std::size_t kMaxCommandBytes = 64 * 1024;
 constexpr std::size_t kMaxCommandIdBytes = 128;
 
-HttpAnswer text_answer(int status, std::string text) {
+HttpResponse text_answer(int status, std::string text) {
   return {status,
           {{"Content-Type", "text/plain; charset=utf-8"}},
           std::move(text),
           false};
 }
 
-HttpAnswer findings_answer(const std::vector<Finding>& findings) {
+HttpResponse findings_answer(const std::vector<Finding>& findings) {
   std::string lines;
   for (const Finding& finding : findings) lines += to_string(finding) + "\n";
   return text_answer(422, std::move(lines));
@@ -109,7 +109,7 @@
   }
   auto name = authenticate(request.headers, tokens_);
   if (!name) {
-    HttpAnswer refused =
+    HttpResponse refused =
         text_answer(401, "a named operator's token is needed\n");
     refused.headers.emplace_back("WWW-Authenticate", "Bearer");
     return exchange->answer(std::move(refused));
@@ -122,8 +122,8 @@
   }
   if (request.method == "GET" && path == "/declarations") {
     DeclarationsText current = handlers_.declarations();
-    HttpAnswer answer = text_answer(current.version.value > 0 ? 200 : 404,
-                                    std::move(current.text));
+    HttpResponse answer = text_answer(current.version.value > 0 ? 200 : 404,
+                                      std::move(current.text));
     answer.headers.emplace_back("Eelgrasspin-Version",
                                 std::to_string(current.version.value));
     return exchange->answer(std::move(answer));
--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -11,19 +11,19 @@
 namespace eelgrasspin::standin {
 
 namespace json = boost::json;
-using io::HttpAnswer;
 using io::HttpRequest;
+using io::HttpResponse;
 
 namespace {
 
 constexpr std::string_view kStorePrefix = "/store/";
 constexpr std::size_t kMaxValueBytes = config::kStoreValueMaxBytes;
 
-HttpAnswer text(int status, std::string body) {
+HttpResponse text(int status, std::string body) {
   return {status, {{"Content-Type", "text/plain"}}, std::move(body), false};
 }
 
-void add_number(HttpAnswer& answer, const char* name, std::uint64_t number) {
+void add_number(HttpResponse& answer, const char* name, std::uint64_t number) {
   answer.headers.emplace_back(name, std::to_string(number));
 }
 
@@ -104,7 +104,7 @@
   handle_read(exchange, key);
 }
 
-void Platform::answer(const Exchange& exchange, HttpAnswer answer) {
+void Platform::answer(const Exchange& exchange, HttpResponse answer) {
   if (delay_ == Duration(0)) return exchange->answer(std::move(answer));
   auto timer = std::make_shared<boost::asio::steady_timer>(io_, delay_);
   timer->async_wait([timer, exchange, answer = std::move(answer)](
@@ -117,7 +117,7 @@
   ++stats_.reads;
   auto found = values_.find(key);
   bool present = found != values_.end() && !found->second.text.empty();
-  HttpAnswer result =
+  HttpResponse result =
       text(present ? 200 : 404, present ? found->second.text : std::string());
   if (found != values_.end()) {
     add_number(result, "Store-Version", found->second.version);
@@ -138,7 +138,7 @@
   bool absent = value.text.empty() && *expected == 0;
   if (!absent && *expected != value.version) {
     ++stats_.conflicts;
-    HttpAnswer conflict = text(409, value.text);
+    HttpResponse conflict = text(409, value.text);
     add_number(conflict, "Store-Version", value.version);
     add_number(conflict, "Store-Revision", revision_);
     return answer(exchange, std::move(conflict));
@@ -149,14 +149,15 @@
     --answers_to_lose_;
     return exchange->abort();
   }
-  HttpAnswer written = text(200, {});
+  HttpResponse written = text(200, {});
   add_number(written, "Store-Version", revision_);
   add_number(written, "Store-Revision", revision_);
   answer(exchange, std::move(written));
 }
 
-HttpAnswer Platform::list_answer(const std::string& prefix, std::uint64_t since,
-                                 bool with_deleted) const {
+HttpResponse Platform::list_answer(const std::string& prefix,
+                                   std::uint64_t since,
+                                   bool with_deleted) const {
   json::array items;
   for (auto it = values_.lower_bound(prefix);
        it != values_.end() && it->first.starts_with(prefix); ++it) {
@@ -166,10 +167,10 @@
     items.push_back(json::object{
         {"key", it->first}, {"version", value.version}, {"value", value.text}});
   }
-  HttpAnswer result{200,
-                    {{"Content-Type", "application/json"}},
-                    json::serialize(items),
-                    false};
+  HttpResponse result{200,
+                      {{"Content-Type", "application/json"}},
+                      json::serialize(items),
+                      false};
   add_number(result, "Store-Revision", revision_);
   return result;
 }
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -89,11 +89,11 @@
   void handle_vms(const Exchange& exchange);
   void handle_control(const Exchange& exchange);
   void handle_set_vms(const Exchange& exchange);
-  void answer(const Exchange& exchange, io::HttpAnswer answer);
+  void answer(const Exchange& exchange, io::HttpResponse answer);
   void notify(const std::string& key);
   bool within_rate(RateWindow& window);
-  io::HttpAnswer list_answer(const std::string& prefix, std::uint64_t since,
-                             bool with_deleted) const;
+  io::HttpResponse list_answer(const std::string& prefix, std::uint64_t since,
+                               bool with_deleted) const;
 
   boost::asio::io_context& io_;
   std::map<std::string, Value> values_;
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -15,8 +15,8 @@
 namespace eelgrasspin::standin {
 
 namespace json = boost::json;
-using io::HttpAnswer;
 using io::HttpRequest;
+using io::HttpResponse;
 
 struct BackendServer::Job {
   explicit Job(boost::asio::io_context& io) : timer(io) {}
@@ -37,7 +37,7 @@
 constexpr int kColdFactor = 3;
 constexpr std::size_t kTruncatedBytes = 40;
 
-HttpAnswer text(int status, std::string body) {
+HttpResponse text(int status, std::string body) {
   return {status, {{"Content-Type", "text/plain"}}, std::move(body), false};
 }
 
@@ -144,7 +144,7 @@
     auto refused = grants_.refused(job->slot, job->key, job->epoch, job->front,
                                    io::steady_now());
     if (refused) {
-      HttpAnswer answer = text(412, "no grant in force\n");
+      HttpResponse answer = text(412, "no grant in force\n");
       answer.headers.emplace_back("eelgrasspin-refused", "grant");
       answer.headers.emplace_back("eelgrasspin-newer-epoch",
                                   std::to_string(refused->value));
@@ -224,7 +224,7 @@
 }
 
 void BackendServer::shed(const Exchange& exchange) {
-  HttpAnswer answer = text(503, "busy\n");
+  HttpResponse answer = text(503, "busy\n");
   answer.headers.emplace_back("eelgrasspin-refused", "shed");
   answer.headers.emplace_back("Retry-After", "1");
   exchange->answer(std::move(answer));
--- a/tests/backend_pool_test.cc
+++ b/tests/backend_pool_test.cc
@@ -86,7 +86,7 @@
                  nullptr},
                 [&](HttpResult ended) { result = std::move(ended); });
     EXPECT_TRUE(run_until(io_, [&] { return result.has_value(); }));
-    return std::holds_alternative<HttpAnswer>(*result);
+    return std::holds_alternative<HttpResponse>(*result);
   }
   void rest(Duration duration) {
     io_.run_for(duration);
--- a/tests/io_cluster.h
+++ b/tests/io_cluster.h
@@ -80,20 +80,21 @@
     return *result;
   }
 
-  io::HttpAnswer answer(const Endpoint& to, const io::HttpRequest& request,
-                        Duration limit = seconds(6)) {
+  io::HttpResponse answer(const Endpoint& to, const io::HttpRequest& request,
+                          Duration limit = seconds(6)) {
     io::HttpResult result = call(to, request, limit);
-    if (const auto* whole = std::get_if<io::HttpAnswer>(&result)) return *whole;
+    if (const auto* whole = std::get_if<io::HttpResponse>(&result))
+      return *whole;
     return {0, {}, std::get<io::HttpFailure>(result).why, false};
   }
 
-  io::HttpAnswer apply(io::Shell& daemon) {
+  io::HttpResponse apply(io::Shell& daemon) {
     return answer(
         daemon.operators(),
         {"POST", "/declarations", operator_headers(), declarations(), {}});
   }
 
-  io::HttpAnswer command(io::Shell& daemon, const std::string& text) {
+  io::HttpResponse command(io::Shell& daemon, const std::string& text) {
     return answer(daemon.operators(),
                   {"POST", "/command", operator_headers(), text, {}});
   }
@@ -112,7 +113,7 @@
             {}};
   }
 
-  static std::string outcome(const io::HttpAnswer& answer) {
+  static std::string outcome(const io::HttpResponse& answer) {
     const std::string* text =
         io::find_header(answer.headers, "eelgrasspin-outcome");
     return text == nullptr ? std::string() : *text;
@@ -132,7 +133,7 @@
 
   bool served(io::Shell& daemon, const std::string& key) {
     for (int i = 0; i < 100; ++i) {
-      io::HttpAnswer result =
+      io::HttpResponse result =
           answer(daemon.callers(), read_pan(key), seconds(3));
       if (outcome(result) == "answered") return true;
       run_for(io_, std::chrono::milliseconds(50));
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -183,8 +183,8 @@
 
 TEST(HttpClientAnswers, AnAnswerWithoutLengthEndsWithItsConnection) {
   auto result = call("HTTP/1.1 200 OK\r\n\r\nwhole", true);
-  ASSERT_TRUE(std::holds_alternative<HttpAnswer>(result));
-  EXPECT_EQ(std::get<HttpAnswer>(result).body, "whole");
+  ASSERT_TRUE(std::holds_alternative<HttpResponse>(result));
+  EXPECT_EQ(std::get<HttpResponse>(result).body, "whole");
 }
 
 TEST(HttpClientAnswers, AnAnswerThatEndsEarlyIsNotComplete) {
@@ -194,13 +194,13 @@
 }
 
 TEST(HttpClientAnswers, AnswersToOtherRequestsArePassedOver) {
-  auto mine = [](const HttpAnswer& answer) { return answer.body == "mine"; };
+  auto mine = [](const HttpResponse& answer) { return answer.body == "mine"; };
   auto result = call(
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
       "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine",
       false, mine);
-  ASSERT_TRUE(std::holds_alternative<HttpAnswer>(result));
-  EXPECT_EQ(std::get<HttpAnswer>(result).body, "mine");
+  ASSERT_TRUE(std::holds_alternative<HttpResponse>(result));
+  EXPECT_EQ(std::get<HttpResponse>(result).body, "mine");
 }
 
 TEST(LogBudget, BoundsEachKindInEachSecondAndCountsTheRest) {
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -210,7 +210,7 @@
 }
 
 TEST(PlatformRequests, RetryAfterIsNamedInSeconds) {
-  io::HttpAnswer answer =
+  io::HttpResponse answer =
       HeaderFormat().own_answer("id1", 503, milliseconds(250), "full");
   EXPECT_EQ(*io::find_header(answer.headers, kRetryAfter), "0.250");
   EXPECT_EQ(io::find_header(answer.headers, kStamp), nullptr);
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -131,7 +131,7 @@
 
   int status(const Endpoint& to, const io::HttpRequest& request) {
     io::HttpResult result = call(to, request);
-    const auto* answer = std::get_if<io::HttpAnswer>(&result);
+    const auto* answer = std::get_if<io::HttpResponse>(&result);
     return answer == nullptr ? 0 : answer->status;
   }
 
@@ -186,8 +186,8 @@
   EXPECT_FALSE(boards_[0]->ran.empty());
   EXPECT_FALSE(boards_[1]->ran.empty());
   io::HttpResult result = call(to, once("post-1"));
-  ASSERT_TRUE(std::holds_alternative<io::HttpAnswer>(result));
-  const auto& answer = std::get<io::HttpAnswer>(result);
+  ASSERT_TRUE(std::holds_alternative<io::HttpResponse>(result));
+  const auto& answer = std::get<io::HttpResponse>(result);
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body, "body of post-1 text");
   EXPECT_NE(io::find_header(answer.headers, kStamp), nullptr);
@@ -255,8 +255,8 @@
   EXPECT_EQ(status(callers(process), once("post-4")), 200);
   io::HttpResult result =
       call(Endpoint(process.ip + ":9464"), {"GET", "/metrics", {}, "", {}});
-  ASSERT_TRUE(std::holds_alternative<io::HttpAnswer>(result));
-  const std::string& body = std::get<io::HttpAnswer>(result).body;
+  ASSERT_TRUE(std::holds_alternative<io::HttpResponse>(result));
+  const std::string& body = std::get<io::HttpResponse>(result).body;
   EXPECT_NE(body.find("eelgrasspin_fleet_requests_total{status=\"200\","
                       "reason=\"answered\"} 1"),
             std::string::npos)
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -341,9 +341,9 @@
               keyed_ ? std::optional<std::uint32_t>(*key) : std::nullopt,
               io::steady_now()});
     }
-    io::HttpAnswer answer = {200,
-                             {{kRequestId, *id}, {kStamp, "stamp-" + name_}},
-                             "body of " + *id + " " + request.body};
+    io::HttpResponse answer = {200,
+                               {{kRequestId, *id}, {kStamp, "stamp-" + name_}},
+                               "body of " + *id + " " + request.body};
     if (work.count() == 0) return exchange->answer(std::move(answer));
     auto timer = std::make_shared<boost::asio::steady_timer>(io_);
     timer->expires_after(work);
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -30,13 +30,13 @@
   start(2, kQuick);
   for (int key = 0; key < 24; ++key) {
     std::string name = "pan-" + std::to_string(key);
-    io::HttpAnswer first = cluster_.answer(cluster_.daemon(0).callers(),
-                                           IoCluster::read_pan(name));
-    io::HttpAnswer second = cluster_.answer(cluster_.daemon(1).callers(),
-                                            IoCluster::read_pan(name));
+    io::HttpResponse first = cluster_.answer(cluster_.daemon(0).callers(),
+                                             IoCluster::read_pan(name));
+    io::HttpResponse second = cluster_.answer(cluster_.daemon(1).callers(),
+                                              IoCluster::read_pan(name));
     EXPECT_EQ(IoCluster::outcome(first), "answered");
     EXPECT_EQ(IoCluster::outcome(second), "answered");
-    for (const io::HttpAnswer& answer : {first, second}) {
+    for (const io::HttpResponse& answer : {first, second}) {
       EXPECT_NE(answer.body.find("\"echo\":\"" + name + "\""),
                 std::string::npos);
     }
@@ -45,11 +45,11 @@
 
 TEST_F(ShellTest, OwnerCommandNamesTheServerThatAnswers) {
   start(1, kQuick);
-  io::HttpAnswer told =
+  io::HttpResponse told =
       cluster_.command(cluster_.daemon(0), "owner of panboard \"pan-3\"");
   ASSERT_EQ(told.status, 200) << told.body;
-  io::HttpAnswer answer = cluster_.answer(cluster_.daemon(0).callers(),
-                                          IoCluster::read_pan("pan-3"));
+  io::HttpResponse answer = cluster_.answer(cluster_.daemon(0).callers(),
+                                            IoCluster::read_pan("pan-3"));
   std::string server = answer.body.find("panboard-01") != std::string::npos
                            ? "panboard-01"
                            : "panboard-02";
@@ -62,12 +62,12 @@
   io::Shell& daemon = cluster_.daemon(0);
   io::HttpRequest request = IoCluster::read_pan("pan-1");
   request.target = "/nothing/pans/pan-1";
-  io::HttpAnswer unknown = cluster_.answer(daemon.callers(), request);
+  io::HttpResponse unknown = cluster_.answer(daemon.callers(), request);
   EXPECT_EQ(unknown.status, 404);
   EXPECT_EQ(IoCluster::outcome(unknown), "not run");
   request.target = "/panboard/pans/pan-1/dispatches";
   request.method = "POST";
-  io::HttpAnswer keyless = cluster_.answer(daemon.callers(), request);
+  io::HttpResponse keyless = cluster_.answer(daemon.callers(), request);
   EXPECT_EQ(keyless.status, 400);
   EXPECT_EQ(IoCluster::outcome(keyless), "not run");
   EXPECT_EQ(cluster_.executions(), before);
@@ -102,7 +102,7 @@
   cluster_.server(0).silence_connections();
   cluster_.server(1).silence_connections();
   for (int key = 0; key < 4; ++key) {
-    io::HttpAnswer answer =
+    io::HttpResponse answer =
         cluster_.answer(cluster_.daemon(0).callers(),
                         IoCluster::read_pan("pan-" + std::to_string(key)));
     EXPECT_EQ(IoCluster::outcome(answer), "answered") << answer.body;
@@ -114,7 +114,7 @@
   cluster_.daemon(0).transport().silence_connections();
   for (int daemon = 0; daemon < 2; ++daemon) {
     for (int key = 0; key < 4; ++key) {
-      io::HttpAnswer answer =
+      io::HttpResponse answer =
           cluster_.answer(cluster_.daemon(daemon).callers(),
                           IoCluster::read_pan("pan-" + std::to_string(key)));
       EXPECT_EQ(IoCluster::outcome(answer), "answered") << answer.body;
@@ -138,7 +138,7 @@
   EXPECT_TRUE(run_until(cluster_.io(), [&] { return cluster_.exited(0); }));
   for (const auto& call : calls) {
     ASSERT_TRUE(run_until(cluster_.io(), [&] { return call->has_value(); }));
-    const auto* answer = std::get_if<io::HttpAnswer>(&call->value());
+    const auto* answer = std::get_if<io::HttpResponse>(&call->value());
     ASSERT_NE(answer, nullptr);
     EXPECT_EQ(IoCluster::outcome(*answer), "answered") << answer->body;
   }
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -88,7 +88,7 @@
 void Callers::ended(Caller& caller, const std::string& id, std::uint64_t life,
                     TimePoint sent, const io::HttpResult& result) {
   const Daemon& daemon = caller.daemon;
-  if (const auto* answer = std::get_if<io::HttpAnswer>(&result)) {
+  if (const auto* answer = std::get_if<io::HttpResponse>(&result)) {
     const std::string* stamp =
         io::find_header(answer->headers, platform::kStamp);
     std::string server = stamp == nullptr ? "" : stamp->substr(6);
--- a/tools/eelload/load.cc
+++ b/tools/eelload/load.cc
@@ -172,7 +172,7 @@
   }
 
   void note(const Request& request, const io::HttpResult& result) {
-    const auto* answer = std::get_if<io::HttpAnswer>(&result);
+    const auto* answer = std::get_if<io::HttpResponse>(&result);
     const std::string* outcome =
         answer == nullptr
             ? nullptr
@@ -197,7 +197,7 @@
     });
   }
 
-  void count(const Request& request, const io::HttpAnswer* answer,
+  void count(const Request& request, const io::HttpResponse* answer,
              const std::string* outcome) {
     Duration latency = io::steady_now() - request.scheduled;
     // A backend server that is called directly names no outcome.
