--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -57,7 +57,7 @@
   }
 
   void exchange_checked(const HttpRequest& request, Duration limit,
-                        HttpAnswerCheck belongs, HttpCallback done) override {
+                        HttpResponseCheck belongs, HttpCallback done) override {
     belongs_ = std::move(belongs);
     exchange(request, limit, std::move(done));
   }
@@ -262,7 +262,7 @@
   std::optional<Request> message_;
   std::optional<http::response_parser<http::string_body>> parser_;
   HttpCallback done_;
-  HttpAnswerCheck belongs_;
+  HttpResponseCheck belongs_;
   std::chrono::steady_clock::time_point whole_limit_;
   TimePoint last_answer_;
   std::uint64_t answered_ = 0;
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -36,7 +36,7 @@
 using HttpResult = std::variant<HttpResponse, HttpFailure>;
 using HttpCallback = std::function<void(HttpResult)>;
 /// Whether an answer belongs to the request that waits for one.
-using HttpAnswerCheck = std::function<bool(const HttpResponse&)>;
+using HttpResponseCheck = std::function<bool(const HttpResponse&)>;
 
 /// One HTTP/1.1 connection with at most one exchange at a time. Not thread
 /// safe.
@@ -51,7 +51,8 @@
   /// Like exchange(), but answers that fail `belongs` are passed over; the
   /// connection is then closed after the answer that passes.
   virtual void exchange_checked(const HttpRequest& request, Duration limit,
-                                HttpAnswerCheck belongs, HttpCallback done) = 0;
+                                HttpResponseCheck belongs,
+                                HttpCallback done) = 0;
   /// Closes at once; no callback is called any more.
   virtual void close() = 0;
   /// Connected, no exchange under way, and not closed by the other side.
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -167,7 +167,7 @@
 };
 
 HttpResult call(const std::string& bytes, bool close,
-                HttpAnswerCheck belongs = nullptr) {
+                HttpResponseCheck belongs = nullptr) {
   boost::asio::io_context io;
   RawServer server(io, bytes, close);
   std::optional<HttpResult> result;
