--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -515,7 +515,7 @@
   for (const auto& connection : connections) connection->abort();
 }
 
-void HttpServer::silence_connections() {
+void HttpServer::stall_connections() {
   for (const auto& connection : impl_->connections) connection->silence();
 }
 
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -71,7 +71,7 @@
   void close();
   /// Connections that now exist neither receive nor answer any more, without
   /// being closed. For stand-ins and tests.
-  void silence_connections();
+  void stall_connections();
   std::size_t connections() const;
   /// Requests received and not yet answered in full.
   std::size_t open_exchanges() const;
--- a/src/io/transport_h2.cc
+++ b/src/io/transport_h2.cc
@@ -345,7 +345,7 @@
   for (const auto& [endpoint, session] : sessions) session->close();
 }
 
-void TransportH2::silence_connections() {
+void TransportH2::stall_connections() {
   for (const auto& link : impl_->server_links) {
     if (link->session) link->session->silence();
   }
--- a/src/io/transport_h2.h
+++ b/src/io/transport_h2.h
@@ -56,7 +56,7 @@
   bool flushed() const;
   void close();
   /// Connections that now exist go silent without being closed. For tests.
-  void silence_connections();
+  void stall_connections();
 
   struct Impl;
 
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -260,7 +260,7 @@
   } else if (verb == "crash" && options_.crash) {
     options_.crash();
   } else if (verb == "silent" && on) {
-    boost::asio::post(io_, [this] { silence_connections(); });
+    boost::asio::post(io_, [this] { stall_connections(); });
   } else if (verb == "shed") {
     shedding_ = on;
   } else if (verb == "truncate") {
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -66,7 +66,7 @@
   void set_shedding(bool on) { shedding_ = on; }
   void set_truncating(bool on) { truncating_ = on; }
   /// Connections that now exist go silent; new ones work.
-  void silence_connections() { server_.silence_connections(); }
+  void stall_connections() { server_.stall_connections(); }
   /// Stops accepting and closes every connection.
   void close() { server_.close(); }
   /// One control line; the error says what is wrong with it.
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -190,7 +190,7 @@
   grant();
   run(request());
   run_for(io_, std::chrono::milliseconds(150));
-  server_->silence_connections();
+  server_->stall_connections();
   AttemptReply reply = run(request(false));
   EXPECT_TRUE(std::holds_alternative<AttemptAnswered>(reply.result));
   EXPECT_EQ(server_->executions().size(), 2U);
@@ -200,7 +200,7 @@
   grant();
   calls_.set_limits(server_->local(), {4, milliseconds(1), milliseconds(200)});
   run(request());
-  server_->silence_connections();
+  server_->stall_connections();
   AttemptReply first = run(request());
   EXPECT_EQ(std::get<AttemptUnknown>(first.result).reason,
             Reason::kConnectionLost);
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -99,8 +99,8 @@
 
 TEST_F(ShellTest, SilentServerConnectionsServeACallerWithTwoSeconds) {
   start(1, kQuick);
-  cluster_.server(0).silence_connections();
-  cluster_.server(1).silence_connections();
+  cluster_.server(0).stall_connections();
+  cluster_.server(1).stall_connections();
   for (int key = 0; key < 4; ++key) {
     io::HttpResponse answer =
         cluster_.answer(cluster_.daemon(0).callers(),
@@ -111,7 +111,7 @@
 
 TEST_F(ShellTest, SilentDaemonConnectionsServeACallerWithTwoSeconds) {
   start(2, kQuick);
-  cluster_.daemon(0).transport().silence_connections();
+  cluster_.daemon(0).transport().stall_connections();
   for (int daemon = 0; daemon < 2; ++daemon) {
     for (int key = 0; key < 4; ++key) {
       io::HttpResponse answer =
--- a/tests/transport_h2_test.cc
+++ b/tests/transport_h2_test.cc
@@ -144,7 +144,7 @@
 TEST_F(TransportTest, SilentConnectionIsAbandonedAndAFreshOneWorks) {
   AttemptId first = forward(request());
   ASSERT_TRUE(wait_inbound(1));
-  front_->silence_connections();
+  front_->stall_connections();
   AttemptId silent = forward(request());
   EXPECT_TRUE(std::holds_alternative<AttemptUnknown>(wait_reply(silent)));
   EXPECT_TRUE(std::holds_alternative<AttemptUnknown>(wait_reply(first)));
