--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -196,7 +196,7 @@
   CallerRequest& request = value(read);
   RequestId id(next_request_++);
   open_[id] = {exchange, request.label, boot_now()};
-  exchange->on_gone([this, id] {
+  exchange->on_abandoned([this, id] {
     open_.erase(id);
     apply(fleet::CallerLeft{id});
   });
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -105,7 +105,7 @@
 
   HttpRequest& request() override { return request_; }
   void answer(HttpResponse answer) override;
-  void on_gone(std::function<void()> gone) override {
+  void on_abandoned(std::function<void()> gone) override {
     if (!ended_) gone_ = std::move(gone);
   }
   void send_raw_and_close(std::string bytes) override;
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -23,7 +23,7 @@
   virtual void answer(HttpResponse answer) = 0;
   /// Called when the sender closes the connection before the answer. Attention:
   /// cleared by answer().
-  virtual void on_gone(std::function<void()> gone) = 0;
+  virtual void on_abandoned(std::function<void()> gone) = 0;
   /// Sends these bytes as they are and closes the connection.
   virtual void send_raw_and_close(std::string bytes) = 0;
   /// Closes the connection without an answer.
--- a/src/io/operator_http.cc
+++ b/src/io/operator_http.cc
@@ -174,7 +174,7 @@
     const std::shared_ptr<HttpExchange>& exchange) {
   OperatorCallId call(next_call_++);
   calls_[call] = exchange;
-  exchange->on_gone([this, call] { calls_.erase(call); });
+  exchange->on_abandoned([this, call] { calls_.erase(call); });
   return call;
 }
 
--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -172,7 +172,7 @@
                             nullptr,
                             steady_now(),
                             {}});
-  exchange->on_gone([this, id] { on_gone(id); });
+  exchange->on_abandoned([this, id] { on_abandoned(id); });
   post(core::RequestArrived{id, std::move(head), FromCaller{}});
 }
 
@@ -184,11 +184,11 @@
                             inbound,
                             steady_now(),
                             {}});
-  inbound->on_gone([this, id] { on_gone(id); });
+  inbound->on_abandoned([this, id] { on_abandoned(id); });
   post(core::RequestArrived{id, inbound->head(), inbound->from()});
 }
 
-void Shell::on_gone(RequestId request) {
+void Shell::on_abandoned(RequestId request) {
   held_.drop(request);
   post(core::RequestCancelled{request});
 }
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -83,7 +83,7 @@
   void on_caller_request(CallerRequest request,
                          const std::shared_ptr<HttpExchange>& exchange);
   void on_forwarded_request(const std::shared_ptr<InboundRequest>& inbound);
-  void on_gone(RequestId request);
+  void on_abandoned(RequestId request);
   void exit_when_flushed(int checks_left);
   void exit();
 
--- a/src/io/transport_h2.cc
+++ b/src/io/transport_h2.cc
@@ -45,7 +45,9 @@
               Epoch newer_epoch) override {
     respond(encode_refusal(outcome, reason, retry_after, newer_epoch));
   }
-  void on_gone(std::function<void()> gone) override { gone_ = std::move(gone); }
+  void on_abandoned(std::function<void()> gone) override {
+    gone_ = std::move(gone);
+  }
 
   void gone() {
     std::function<void()> call = std::move(gone_);
--- a/src/io/transport_h2.h
+++ b/src/io/transport_h2.h
@@ -27,7 +27,7 @@
   virtual void refuse(Outcome outcome, Reason reason, Duration retry_after,
                       Epoch newer_epoch) = 0;
   /// Called when the other daemon gives up before the end.
-  virtual void on_gone(std::function<void()> gone) = 0;
+  virtual void on_abandoned(std::function<void()> gone) = 0;
 };
 
 /// Messages and requests between daemons over HTTP/2.
--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -205,7 +205,7 @@
       return watch.exchange == exchange.lock();
     });
   };
-  exchange->on_gone(drop);
+  exchange->on_abandoned(drop);
   limit->async_wait([this, alive, drop, prefix, since = *since,
                      exchange](boost::system::error_code failed) {
     if (failed || alive.expired()) return;
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -125,7 +125,7 @@
   job->epoch = Epoch(header_number(request, "eelgrasspin-epoch"));
   job->front = FrontEpoch(header_number(request, "eelgrasspin-front-epoch"));
   waiting_.push_back(job);
-  exchange->on_gone([this, weak = std::weak_ptr(job)] {
+  exchange->on_abandoned([this, weak = std::weak_ptr(job)] {
     if (auto gone = weak.lock()) leave(gone);
   });
   start_waiting();
--- a/tests/caller_port_test.cc
+++ b/tests/caller_port_test.cc
@@ -15,7 +15,7 @@
                       heads_.push_back(request.head);
                       if (hold_) {
                         held_.push_back(exchange);
-                        exchange->on_gone([this] { ++gone_; });
+                        exchange->on_abandoned([this] { ++gone_; });
                         return;
                       }
                       exchange->answer(to_caller(200, *request.payload));
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -118,7 +118,8 @@
   send(kFirst + kSecond);
   run_until([&] { return open_.size() == 2; });
   int gone = 0;
-  for (const auto& exchange : open_) exchange->on_gone([&gone] { ++gone; });
+  for (const auto& exchange : open_)
+    exchange->on_abandoned([&gone] { ++gone; });
   socket_.close();
   run_until([&] { return gone == 2; });
 }
--- a/tests/transport_h2_test.cc
+++ b/tests/transport_h2_test.cc
@@ -20,7 +20,7 @@
                 },
                 [this](const std::shared_ptr<io::InboundRequest>& inbound) {
                   inbound_.push_back(inbound);
-                  inbound->on_gone([this] { ++gone_; });
+                  inbound->on_abandoned([this] { ++gone_; });
                 }})),
         entry_(io_, DaemonName("gongoni-1"), {}) {
     EXPECT_FALSE(front_->listen(kAnyPort));
