--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -483,7 +483,7 @@
   return std::nullopt;
 }
 
-Endpoint HttpServer::local() const {
+Endpoint HttpServer::bound_endpoint() const {
   error_code ignored;
   return to_endpoint(impl_->acceptor.local_endpoint(ignored));
 }
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -56,7 +56,7 @@
   /// Binds the port; an error says why it could not.
   std::optional<Error> listen(const Endpoint& endpoint);
   /// Where it listens, with the port the system chose for port 0.
-  Endpoint local() const;
+  Endpoint bound_endpoint() const;
   /// Takes no more connections, and no more requests on those it has.
   void stop_accepting();
   /// Each connection takes at most one more request and is closed after its
--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -93,7 +93,7 @@
 }
 
 void Shell::start() {
-  state_.self.address = transport_.local();
+  state_.self.address = transport_.bound_endpoint();
   post(core::Started{incarnation_});
   tick();
 }
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -47,9 +47,9 @@
   /// Closes every port and connection at once.
   void close();
 
-  Endpoint callers() { return caller_port_.server().local(); }
-  Endpoint peers() { return transport_.local(); }
-  Endpoint operators() { return operator_port_.server().local(); }
+  Endpoint callers() { return caller_port_.server().bound_endpoint(); }
+  Endpoint peers() { return transport_.bound_endpoint(); }
+  Endpoint operators() { return operator_port_.server().bound_endpoint(); }
   const core::State& state() const { return state_; }
   /// For tests that make connections go silent.
   TransportH2& transport() { return transport_; }
--- a/src/io/transport_h2.cc
+++ b/src/io/transport_h2.cc
@@ -289,7 +289,7 @@
   return impl_->listen(endpoint);
 }
 
-Endpoint TransportH2::local() const {
+Endpoint TransportH2::bound_endpoint() const {
   error_code ignored;
   return to_endpoint(impl_->acceptor.local_endpoint(ignored));
 }
--- a/src/io/transport_h2.h
+++ b/src/io/transport_h2.h
@@ -43,7 +43,7 @@
 
   /// Binds the port for other daemons; an error says why it could not.
   std::optional<Error> listen(const Endpoint& endpoint);
-  Endpoint local() const;
+  Endpoint bound_endpoint() const;
 
   void send(const Endpoint& to, const PeerMessage& message) override;
   void forward(AttemptId attempt, const Endpoint& to,
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -46,7 +46,7 @@
   ~Platform();
 
   std::optional<Error> listen(const Endpoint& endpoint);
-  Endpoint local() const { return server_.local(); }
+  Endpoint bound_endpoint() const { return server_.bound_endpoint(); }
   const PlatformStats& stats() const { return stats_; }
 
   void set_outage(Outage outage) { outage_ = outage; }
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -57,7 +57,7 @@
   ~BackendServer();
 
   std::optional<Error> listen(const Endpoint& endpoint);
-  Endpoint local() const { return server_.local(); }
+  Endpoint bound_endpoint() const { return server_.bound_endpoint(); }
   const std::vector<Execution>& executions() const { return executions_; }
   std::uint32_t most_running() const { return most_running_; }
   std::size_t connections() const { return server_.connections(); }
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -27,7 +27,7 @@
 
   GrantReply order(const GrantOrder& order) {
     std::optional<GrantReply> reply;
-    control_.order(ServerName("panboard-01"), server_->local(), order,
+    control_.order(ServerName("panboard-01"), server_->bound_endpoint(), order,
                    [&](GrantReply answer) { reply = std::move(answer); });
     EXPECT_TRUE(run_until(io_, [&] { return reply.has_value(); }));
     return *reply;
@@ -65,7 +65,7 @@
 
   AttemptId send(const OutboundRequest& request) {
     AttemptId attempt(++attempts_);
-    calls_.run(attempt, server_->local(), request,
+    calls_.run(attempt, server_->bound_endpoint(), request,
                [this, attempt](AttemptReply reply) {
                  replies_[attempt] = std::move(reply);
                });
@@ -115,7 +115,8 @@
 
 TEST_F(BackendCallsTest, ReusesConnectionsWithinTheLimit) {
   grant();
-  calls_.set_limits(server_->local(), {2, milliseconds(1), seconds(1)});
+  calls_.set_limits(server_->bound_endpoint(),
+                    {2, milliseconds(1), seconds(1)});
   for (int i = 0; i < 20; ++i) send(request());
   ASSERT_TRUE(run_until(io_, [&] { return replies_.size() == 20; }));
   for (const auto& [attempt, reply] : replies_) {
@@ -123,7 +124,7 @@
   }
   EXPECT_EQ(server_->executions().size(), 20U);
   EXPECT_LE(server_->most_running(), 2U);
-  EXPECT_LE(calls_.connections(server_->local()), 2U);
+  EXPECT_LE(calls_.connections(server_->bound_endpoint()), 2U);
 }
 
 TEST_F(BackendCallsTest, PushbackIsNotRun) {
@@ -169,7 +170,7 @@
   hasty.time_left = milliseconds(50);
   EXPECT_EQ(std::get<AttemptUnknown>(run(hasty).result).reason,
             Reason::kTimeoutAfterSend);
-  EXPECT_EQ(calls_.connections(server_->local()), 0U);
+  EXPECT_EQ(calls_.connections(server_->bound_endpoint()), 0U);
   server_->set_work(milliseconds(1));
   AttemptReply next = run(request());
   EXPECT_TRUE(std::holds_alternative<AttemptAnswered>(next.result));
@@ -198,7 +199,8 @@
 
 TEST_F(BackendCallsTest, SilentConnectionIsGivenUpInTimeForAFreshOne) {
   grant();
-  calls_.set_limits(server_->local(), {4, milliseconds(1), milliseconds(200)});
+  calls_.set_limits(server_->bound_endpoint(),
+                    {4, milliseconds(1), milliseconds(200)});
   run(request());
   server_->stall_connections();
   AttemptReply first = run(request());
--- a/tests/caller_port_test.cc
+++ b/tests/caller_port_test.cc
@@ -25,7 +25,7 @@
   }
 
   std::string exchange_raw(std::string_view text) {
-    RawClient client(io_, port_.server().local());
+    RawClient client(io_, port_.server().bound_endpoint());
     client.send(text);
     std::string received;
     EXPECT_TRUE(client.read_to_end(received)) << received;
@@ -126,7 +126,7 @@
 }
 
 TEST_F(CallerPortTest, BodyOverTheLimitInChunksIsRefused) {
-  RawClient client(io_, port_.server().local());
+  RawClient client(io_, port_.server().bound_endpoint());
   client.send(
       "POST /panboard/x HTTP/1.1\r\nHost: a\r\n"
       "Transfer-Encoding: chunked\r\n\r\n");
@@ -161,7 +161,7 @@
 
 TEST_F(CallerPortTest, CallerThatLeavesIsNoticed) {
   hold_ = true;
-  RawClient client(io_, port_.server().local());
+  RawClient client(io_, port_.server().bound_endpoint());
   client.send("GET /panboard/x HTTP/1.1\r\nHost: a\r\n\r\n");
   ASSERT_TRUE(run_until(io_, [&] { return held_.size() == 1; }));
   EXPECT_EQ(gone_, 0);
@@ -192,7 +192,7 @@
   int handled = 0;
   HttpServer server(io_, options, [&](const auto&) { ++handled; });
   ASSERT_FALSE(server.listen(kAnyPort));
-  RawClient client(io_, server.local());
+  RawClient client(io_, server.bound_endpoint());
   client.send("POST /panboard/x HTTP/1.1\r\nContent-Le");
   std::string received;
   EXPECT_TRUE(client.read_to_end(received));
--- a/tests/io_cluster.h
+++ b/tests/io_cluster.h
@@ -38,7 +38,7 @@
     settings.zone = ZoneName("gongoni");
     settings.region = RegionName("kilifi");
     settings.callers = settings.peers = settings.operators = kAnyPort;
-    settings.store = settings.vm_list = platform_.local();
+    settings.store = settings.vm_list = platform_.bound_endpoint();
     settings.tokens = {{OperatorName("alice"), "alice-token-000000"}};
     std::size_t index = daemons_.size();
     exited_.push_back(false);
@@ -66,7 +66,7 @@
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       text += "\n[server " + names_[i].str() +
               "]\nservice = panboard\nzone = gongoni\naddress = " +
-              servers_[i]->local().str() +
+              servers_[i]->bound_endpoint().str() +
               "\nslots = " + std::to_string(concurrency_[i]) +
               "\nconnections = 130\nconnection_interval = 1ms\n"
               "checks_grants = yes\n";
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -24,7 +24,7 @@
                 }),
         socket_(io_) {
     EXPECT_FALSE(server_.listen(Endpoint("127.0.0.1:0")));
-    socket_.connect(*parse_endpoint(server_.local()));
+    socket_.connect(*parse_endpoint(server_.bound_endpoint()));
   }
 
   void send(const std::string& text) {
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -34,7 +34,7 @@
     (void)server_.listen(Endpoint("127.0.0.1:0"));
   }
 
-  Endpoint endpoint() const { return server_.local(); }
+  Endpoint endpoint() const { return server_.bound_endpoint(); }
   /// While down, every call is answered 503.
   bool down = false;
   /// While silent, no call is answered and nothing is done.
@@ -296,7 +296,7 @@
         });
     (void)server_->listen(endpoint_.empty() ? Endpoint("127.0.0.1:0")
                                             : endpoint_);
-    endpoint_ = server_->local();
+    endpoint_ = server_->bound_endpoint();
   }
 
   void order(io::HttpExchange& exchange, bool grant) {
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -14,7 +14,8 @@
  protected:
   PlatformTest() : platform_(io_) {
     EXPECT_FALSE(platform_.listen(kAnyPort));
-    store_ = std::make_unique<io::ObjectStoreHttp>(io_, platform_.local());
+    store_ =
+        std::make_unique<io::ObjectStoreHttp>(io_, platform_.bound_endpoint());
   }
 
   CoordinatorLease lease(std::uint64_t sequence) const {
@@ -97,7 +98,7 @@
 }
 
 TEST_F(PlatformTest, ListsVms) {
-  io::VmListHttp list(io_, platform_.local());
+  io::VmListHttp list(io_, platform_.bound_endpoint());
   platform_.set_vm("panboard-01", VmState::kLeaving);
   std::optional<Result<std::vector<VmEntry>>> vms;
   list.list([&](auto result) { vms = std::move(result); });
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -179,7 +179,7 @@
   settings.callers = kAnyPort;
   settings.peers = first.peers();
   settings.operators = first.operators();
-  settings.store = settings.vm_list = cluster_.platform().local();
+  settings.store = settings.vm_list = cluster_.platform().bound_endpoint();
   io::Shell second(cluster_.io(), settings, nullptr);
   std::vector<Error> errors = second.bind();
   ASSERT_EQ(errors.size(), 2U);
--- a/tests/transport_h2_test.cc
+++ b/tests/transport_h2_test.cc
@@ -24,7 +24,7 @@
                 }})),
         entry_(io_, DaemonName("gongoni-1"), {}) {
     EXPECT_FALSE(front_->listen(kAnyPort));
-    address_ = front_->local();
+    address_ = front_->bound_endpoint();
   }
 
   OutboundRequest request(bool repeatable = true) {
--- a/tools/eelstandin/main.cc
+++ b/tools/eelstandin/main.cc
@@ -70,7 +70,7 @@
       }
     }
   }
-  std::cout << "listening on " << stand_in.local() << std::endl;
+  std::cout << "listening on " << stand_in.bound_endpoint() << std::endl;
   wait_for_signal(io);
   return 0;
 }
