--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -107,7 +107,7 @@
       [&](boost::system::error_code failed, int /*number*/) {
         if (failed) return;
         if (++signals_seen > 1) return io.stop();
-        shell.order_stop();
+        shell.request_stop();
         signals.async_wait(on_signal);
       };
   signals.async_wait(on_signal);
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -400,7 +400,7 @@
                       limits.header_timeout + seconds(10), limits.idle_timeout);
 }
 
-void FleetShell::order_stop() {
+void FleetShell::request_stop() {
   apply(fleet::StopOrdered());
   callers_.close_after_answers();
 }
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -41,7 +41,7 @@
   std::vector<Error> bind();
   void start();
   /// Stops accepting, serves what is open, then calls `stopped`.
-  void order_stop();
+  void request_stop();
   /// The settings were read again; what can change while running is taken over.
   void reload(const fleet::Settings& settings);
 
--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -98,7 +98,7 @@
   tick();
 }
 
-void Shell::order_stop() {
+void Shell::request_stop() {
   stop_timer_.expires_after(config::kGracefulStopLimit);
   stop_timer_.async_wait([this](error_code failed) {
     if (!failed) exit();
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -43,7 +43,7 @@
   /// Starts the core. Attention: after bind() without errors.
   void start();
   /// Orders a graceful stop.
-  void order_stop();
+  void request_stop();
   /// Closes every port and connection at once.
   void close();
 
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -134,7 +134,7 @@
         IoCluster::read_pan("pan-" + std::to_string(i), 5000), seconds(8)));
   }
   run_for(cluster_.io(), std::chrono::milliseconds(50));
-  cluster_.daemon(0).order_stop();
+  cluster_.daemon(0).request_stop();
   EXPECT_TRUE(run_until(cluster_.io(), [&] { return cluster_.exited(0); }));
   for (const auto& call : calls) {
     ASSERT_TRUE(run_until(cluster_.io(), [&] { return call->has_value(); }));
