--- a/src/core/cache.cc
+++ b/src/core/cache.cc
@@ -2,19 +2,19 @@
 
 namespace eelgrasspin::core {
 
-Applied apply(Cache& cache, const StoreEntry& entry) {
+ApplyResult apply(Cache& cache, const StoreEntry& entry) {
   StoreEntry& known = cache.entries[entry.key];
   known.key = entry.key;
-  if (entry.version <= known.version) return Applied::kNotNewer;
+  if (entry.version <= known.version) return ApplyResult::kNotNewer;
   known.version = entry.version;
   ++cache.generation;
   if (std::holds_alternative<DamagedRecord>(entry.record)) {
     bool absent = std::holds_alternative<std::monostate>(known.record);
     if (absent) known.record = entry.record;
-    return Applied::kDamaged;
+    return ApplyResult::kDamaged;
   }
   known.record = entry.record;
-  return Applied::kNewer;
+  return ApplyResult::kNewer;
 }
 
 Version version_of(const Cache& cache, const StoreKey& key) {
--- a/src/core/cache.h
+++ b/src/core/cache.h
@@ -19,11 +19,11 @@
   std::uint64_t generation = 0;
 };
 
-enum class Applied : std::uint8_t { kNewer, kNotNewer, kDamaged };
+enum class ApplyResult : std::uint8_t { kNewer, kNotNewer, kDamaged };
 
 /// Takes an entry over if its version is higher than the known one. A damaged
 /// record leaves the last good one.
-Applied apply(Cache& cache, const StoreEntry& entry);
+ApplyResult apply(Cache& cache, const StoreEntry& entry);
 
 /// Version of a key; 0 if it is absent or not known.
 Version version_of(const Cache& cache, const StoreKey& key);
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -248,14 +248,14 @@
   record(state, {.kind = TimelineKind::kStoreUp}, now, effects);
 }
 
-Applied apply_entry(core::State& state, const StoreEntry& entry, Now now,
-                    Effects& effects) {
+ApplyResult apply_entry(core::State& state, const StoreEntry& entry, Now now,
+                        Effects& effects) {
   if (!state.guards.check_map_version && entry.version.value > 0)
     state.cache.entries[entry.key].version = Version(0);
-  Applied applied = apply(state.cache, entry);
+  ApplyResult applied = apply(state.cache, entry);
   std::set<StoreKey>& damaged = state.membership.sync.damaged;
-  if (applied == Applied::kNewer) damaged.erase(entry.key);
-  if (applied != Applied::kDamaged) return applied;
+  if (applied == ApplyResult::kNewer) damaged.erase(entry.key);
+  if (applied != ApplyResult::kDamaged) return applied;
   damaged.insert(entry.key);
   ++state.counters[Counter::kDamagedRecords];
   record(state,
--- a/src/core/membership/store_sync.h
+++ b/src/core/membership/store_sync.h
@@ -16,8 +16,8 @@
 void note_store_up(core::State& state, Now now, Effects& effects);
 
 /// Takes one store value over; notes damaged ones on the time line.
-Applied apply_entry(core::State& state, const StoreEntry& entry, Now now,
-                    Effects& effects);
+ApplyResult apply_entry(core::State& state, const StoreEntry& entry, Now now,
+                        Effects& effects);
 
 /// Sends every cached entry newer than `since`, in order of version.
 void send_missing(core::State& state, const Endpoint& to, Version since,
