--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -143,7 +143,7 @@
   return {"GET",
           "/x/1?a=b",
           {{"Host", "A.example:80"},
-           {kRequestId, "id1"},
+           {kRequestIdHeader, "id1"},
            {kDeadlineMs, "2000"},
            {kShardKey, "4096"},
            {"Connection", "X-Mine"},
@@ -182,7 +182,7 @@
   EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMs), "700");
   EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMs), 1u);
   EXPECT_EQ(*io::find_header(sent.headers, kExpectInstance), "i-1");
-  EXPECT_EQ(*io::find_header(sent.headers, kRequestId), "id1");
+  EXPECT_EQ(*io::find_header(sent.headers, kRequestIdHeader), "id1");
   EXPECT_EQ(*io::find_header(sent.headers, "X-Other"), "2");
   EXPECT_EQ(io::find_header(sent.headers, "X-Mine"), nullptr);
 }
@@ -204,8 +204,10 @@
 
 TEST(PlatformRequests, AnswersOfOthersDoNotBelong) {
   HeaderFormat format;
-  EXPECT_TRUE(format.belongs("id1", {200, {{kRequestId, "id1"}}, "", false}));
-  EXPECT_FALSE(format.belongs("id1", {200, {{kRequestId, "id2"}}, "", false}));
+  EXPECT_TRUE(
+      format.belongs("id1", {200, {{kRequestIdHeader, "id1"}}, "", false}));
+  EXPECT_FALSE(
+      format.belongs("id1", {200, {{kRequestIdHeader, "id2"}}, "", false}));
   EXPECT_FALSE(format.belongs("id1", {200, {{kStamp, "s"}}, "", false}));
 }
 
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -146,7 +146,7 @@
     return {"GET",
             "/k/x?y=1",
             {{"Host", "h"},
-             {kRequestId, id},
+             {kRequestIdHeader, id},
              {kDeadlineMs, "2000"},
              {kShardKey, std::to_string(key)}},
             "",
@@ -155,7 +155,7 @@
   static io::HttpRequest once(const std::string& id) {
     return {"POST",
             "/o/x",
-            {{"Host", "h"}, {kRequestId, id}, {kDeadlineMs, "2000"}},
+            {{"Host", "h"}, {kRequestIdHeader, id}, {kDeadlineMs, "2000"}},
             "text",
             {}};
   }
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -326,7 +326,7 @@
     const io::HttpRequest& request = exchange->request();
     if (request.target == "/grant") return order(*exchange, true);
     if (request.target == "/release") return order(*exchange, false);
-    const std::string* id = io::find_header(request.headers, kRequestId);
+    const std::string* id = io::find_header(request.headers, kRequestIdHeader);
     const std::string* expected =
         io::find_header(request.headers, kExpectInstance);
     auto key = io::number_header(request.headers, kShardKey);
@@ -341,9 +341,10 @@
               keyed_ ? std::optional<std::uint32_t>(*key) : std::nullopt,
               io::steady_now()});
     }
-    io::HttpResponse answer = {200,
-                               {{kRequestId, *id}, {kStamp, "stamp-" + name_}},
-                               "body of " + *id + " " + request.body};
+    io::HttpResponse answer = {
+        200,
+        {{kRequestIdHeader, *id}, {kStamp, "stamp-" + name_}},
+        "body of " + *id + " " + request.body};
     if (work.count() == 0) return exchange->answer(std::move(answer));
     auto timer = std::make_shared<boost::asio::steady_timer>(io_);
     timer->expires_after(work);
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -66,7 +66,7 @@
       once ? "POST" : "GET",
       std::string("/") + letter(caller.kind) + "/x",
       {{"Host", "h"},
-       {platform::kRequestId, id},
+       {platform::kRequestIdHeader, id},
        {platform::kDeadlineMs, std::to_string(to_ms(kDeadline))}},
       once ? "text" : "",
       {}};
