--- a/src/core/cache.cc
+++ b/src/core/cache.cc
@@ -14,7 +14,7 @@
     return ApplyResult::kDamaged;
   }
   known.record = entry.record;
-  return ApplyResult::kNewer;
+  return ApplyResult::kApplied;
 }
 
 Version version_of(const Cache& cache, const StoreKey& key) {
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -254,7 +254,7 @@
     state.cache.entries[entry.key].version = Version(0);
   ApplyResult applied = apply(state.cache, entry);
   std::set<StoreKey>& damaged = state.membership.sync.damaged;
-  if (applied == ApplyResult::kNewer) damaged.erase(entry.key);
+  if (applied == ApplyResult::kApplied) damaged.erase(entry.key);
   if (applied != ApplyResult::kDamaged) return applied;
   damaged.insert(entry.key);
   ++state.counters[Counter::kDamagedRecords];
