--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -144,7 +144,7 @@
           "/x/1?a=b",
           {{"Host", "A.example:80"},
            {kRequestIdHeader, "id1"},
-           {kDeadlineMs, "2000"},
+           {kDeadlineMsHeader, "2000"},
            {kShardKey, "4096"},
            {"Connection", "X-Mine"},
            {"X-Mine", "1"},
@@ -165,7 +165,7 @@
 TEST(PlatformRequests, WrongFieldsAreErrors) {
   for (auto [name, text] :
        {std::pair(kShardKey, "65536"), std::pair(kShardKey, "-1"),
-        std::pair(kDeadlineMs, "soon")}) {
+        std::pair(kDeadlineMsHeader, "soon")}) {
     io::HttpRequest request = caller_request();
     for (auto& [field, content] : request.headers) {
       if (field == name) content = text;
@@ -179,8 +179,8 @@
   attempt.server = ServerName("i-1");
   attempt.time_left = milliseconds(700);
   io::HttpRequest sent = HeaderFormat().to_server(caller_request(), attempt);
-  EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMs), "700");
-  EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMs), 1u);
+  EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMsHeader), "700");
+  EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMsHeader), 1u);
   EXPECT_EQ(*io::find_header(sent.headers, kExpectInstance), "i-1");
   EXPECT_EQ(*io::find_header(sent.headers, kRequestIdHeader), "id1");
   EXPECT_EQ(*io::find_header(sent.headers, "X-Other"), "2");
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -147,17 +147,18 @@
             "/k/x?y=1",
             {{"Host", "h"},
              {kRequestIdHeader, id},
-             {kDeadlineMs, "2000"},
+             {kDeadlineMsHeader, "2000"},
              {kShardKey, std::to_string(key)}},
             "",
             {}};
   }
   static io::HttpRequest once(const std::string& id) {
-    return {"POST",
-            "/o/x",
-            {{"Host", "h"}, {kRequestIdHeader, id}, {kDeadlineMs, "2000"}},
-            "text",
-            {}};
+    return {
+        "POST",
+        "/o/x",
+        {{"Host", "h"}, {kRequestIdHeader, id}, {kDeadlineMsHeader, "2000"}},
+        "text",
+        {}};
   }
 
   bool all_keys_served(const Endpoint& to, const std::string& label) {
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -67,7 +67,7 @@
       std::string("/") + letter(caller.kind) + "/x",
       {{"Host", "h"},
        {platform::kRequestIdHeader, id},
-       {platform::kDeadlineMs, std::to_string(to_ms(kDeadline))}},
+       {platform::kDeadlineMsHeader, std::to_string(to_ms(kDeadline))}},
       once ? "text" : "",
       {}};
   if (caller.kind == Kind::kKeyed) {
