--- a/src/core/cache.cc
+++ b/src/core/cache.cc
@@ -5,7 +5,7 @@
 ApplyResult apply(Cache& cache, const StoreEntry& entry) {
   StoreEntry& known = cache.entries[entry.key];
   known.key = entry.key;
-  if (entry.version <= known.version) return ApplyResult::kNotNewer;
+  if (entry.version <= known.version) return ApplyResult::kStale;
   known.version = entry.version;
   ++cache.generation;
   if (std::holds_alternative<DamagedRecord>(entry.record)) {
--- a/src/core/cache.h
+++ b/src/core/cache.h
@@ -19,7 +19,7 @@
   std::uint64_t generation = 0;
 };
 
-enum class ApplyResult : std::uint8_t { kApplied, kNotNewer, kDamaged };
+enum class ApplyResult : std::uint8_t { kApplied, kStale, kDamaged };
 
 /// Takes an entry over if its version is higher than the known one. A damaged
 /// record leaves the last good one.
