--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -193,13 +193,16 @@
   auto result = [&](int status, io::HeaderFields headers) {
     return format.classify({status, std::move(headers), "", false}).result;
   };
-  EXPECT_EQ(result(200, {{kStamp, "s"}}), AttemptResult::kAnswered);
+  EXPECT_EQ(result(200, {{kResponseStampHeader, "s"}}),
+            AttemptResult::kAnswered);
   EXPECT_EQ(result(503, {{kNotRun, "1"}}), AttemptResult::kNotRun);
   EXPECT_EQ(result(421, {}), AttemptResult::kWrongOwner);
-  EXPECT_EQ(result(503, {{kStamp, "s"}}), AttemptResult::kAnswered);
+  EXPECT_EQ(result(503, {{kResponseStampHeader, "s"}}),
+            AttemptResult::kAnswered);
   EXPECT_EQ(result(200, {}), AttemptResult::kLost);
-  EXPECT_EQ(result(200, {{kStamp, "s"}, {"Content-Encoding", "gzip"}}),
-            AttemptResult::kLost);
+  EXPECT_EQ(
+      result(200, {{kResponseStampHeader, "s"}, {"Content-Encoding", "gzip"}}),
+      AttemptResult::kLost);
 }
 
 TEST(PlatformRequests, AnswersOfOthersDoNotBelong) {
@@ -208,14 +211,15 @@
       format.belongs("id1", {200, {{kRequestIdHeader, "id1"}}, "", false}));
   EXPECT_FALSE(
       format.belongs("id1", {200, {{kRequestIdHeader, "id2"}}, "", false}));
-  EXPECT_FALSE(format.belongs("id1", {200, {{kStamp, "s"}}, "", false}));
+  EXPECT_FALSE(
+      format.belongs("id1", {200, {{kResponseStampHeader, "s"}}, "", false}));
 }
 
 TEST(PlatformRequests, RetryAfterIsNamedInSeconds) {
   io::HttpResponse answer =
       HeaderFormat().own_answer("id1", 503, milliseconds(250), "full");
   EXPECT_EQ(*io::find_header(answer.headers, kRetryAfter), "0.250");
-  EXPECT_EQ(io::find_header(answer.headers, kStamp), nullptr);
+  EXPECT_EQ(io::find_header(answer.headers, kResponseStampHeader), nullptr);
 }
 
 /// Some bytes of a valid text replaced, removed or added.
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -191,7 +191,7 @@
   const auto& answer = std::get<io::HttpResponse>(result);
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body, "body of post-1 text");
-  EXPECT_NE(io::find_header(answer.headers, kStamp), nullptr);
+  EXPECT_NE(io::find_header(answer.headers, kResponseStampHeader), nullptr);
   EXPECT_EQ(books_[0]->ran.size() + books_[1]->ran.size(), 1u);
   EXPECT_EQ(status(to, {"GET", "/none/", {{"Host", "h"}}, "", {}}), 404);
 }
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -343,7 +343,7 @@
     }
     io::HttpResponse answer = {
         200,
-        {{kRequestIdHeader, *id}, {kStamp, "stamp-" + name_}},
+        {{kRequestIdHeader, *id}, {kResponseStampHeader, "stamp-" + name_}},
         "body of " + *id + " " + request.body};
     if (work.count() == 0) return exchange->answer(std::move(answer));
     auto timer = std::make_shared<boost::asio::steady_timer>(io_);
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -90,7 +90,7 @@
   const Daemon& daemon = caller.daemon;
   if (const auto* answer = std::get_if<io::HttpResponse>(&result)) {
     const std::string* stamp =
-        io::find_header(answer->headers, platform::kStamp);
+        io::find_header(answer->headers, platform::kResponseStampHeader);
     std::string server = stamp == nullptr ? "" : stamp->substr(6);
     std::string body =
         "body of " + id + (caller.kind == Kind::kOnce ? " text" : " ");
