--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -42,7 +42,7 @@
 }  // namespace
 
 void step(core::State& state, const Event& event, Now now, Effects& effects) {
-  if (std::holds_alternative<Started>(event) || state.paused_before)
+  if (std::holds_alternative<Started>(event) || state.resumed_from_pause)
     state.membership.resumed = now.mono;
   step_sync(state, event, now, effects);
   step_fences(state, now);
--- a/src/core/ownership/ownership.cc
+++ b/src/core/ownership/ownership.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 void step(core::State& state, const Event& event, Now now, Effects& effects) {
-  if (state.paused_before) {
+  if (state.resumed_from_pause) {
     for (auto& [server, front] : state.ownership.fronts)
       discount_pause(front, state.pause);
   }
--- a/src/core/reducer.cc
+++ b/src/core/reducer.cc
@@ -13,10 +13,10 @@
 void note_time(State& state, const Event& event, Now now, Effects& effects) {
   bool first = std::holds_alternative<Started>(event);
   Duration gap = first ? Duration(0) : now.mono - state.last_event;
-  state.paused_before = gap > config::kPauseThreshold;
-  state.pause = state.paused_before ? gap : Duration(0);
+  state.resumed_from_pause = gap > config::kPauseThreshold;
+  state.pause = state.resumed_from_pause ? gap : Duration(0);
   state.last_event = now.mono;
-  if (!state.paused_before) return;
+  if (!state.resumed_from_pause) return;
   ++state.counters[Counter::kPauses];
   record(state, {.kind = TimelineKind::kPauseDetected}, now, effects);
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -65,9 +65,9 @@
   ownership::State ownership;
   request::State request;
   operators::State operators;
-  TimePoint last_event;        ///< Time of the event before this one.
-  bool paused_before = false;  ///< A pause ended with this event.
-  Duration pause{0};           ///< How long by this daemon's clock; else 0.
+  TimePoint last_event;             ///< Time of the event before this one.
+  bool resumed_from_pause = false;  ///< A pause ended with this event.
+  Duration pause{0};  ///< How long by this daemon's clock; else 0.
   bool stopping = false;
   std::uint64_t next_store_op = 1;
 };
