--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -181,7 +181,7 @@
   io::HttpRequest sent = HeaderFormat().to_server(caller_request(), attempt);
   EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMsHeader), "700");
   EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMsHeader), 1u);
-  EXPECT_EQ(*io::find_header(sent.headers, kExpectInstance), "i-1");
+  EXPECT_EQ(*io::find_header(sent.headers, kExpectInstanceHeader), "i-1");
   EXPECT_EQ(*io::find_header(sent.headers, kRequestIdHeader), "id1");
   EXPECT_EQ(*io::find_header(sent.headers, "X-Other"), "2");
   EXPECT_EQ(io::find_header(sent.headers, "X-Mine"), nullptr);
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -328,7 +328,7 @@
     if (request.target == "/release") return order(*exchange, false);
     const std::string* id = io::find_header(request.headers, kRequestIdHeader);
     const std::string* expected =
-        io::find_header(request.headers, kExpectInstance);
+        io::find_header(request.headers, kExpectInstanceHeader);
     auto key = io::number_header(request.headers, kShardKey);
     bool wrong = expected == nullptr || *expected != name_ ||
                  (keyed_ && (!key || !holds(static_cast<std::uint32_t>(*key))));
