--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -145,7 +145,7 @@
           {{"Host", "A.example:80"},
            {kRequestIdHeader, "id1"},
            {kDeadlineMsHeader, "2000"},
-           {kShardKey, "4096"},
+           {kShardKeyHeader, "4096"},
            {"Connection", "X-Mine"},
            {"X-Mine", "1"},
            {"X-Other", "2"}},
@@ -164,7 +164,7 @@
 
 TEST(PlatformRequests, WrongFieldsAreErrors) {
   for (auto [name, text] :
-       {std::pair(kShardKey, "65536"), std::pair(kShardKey, "-1"),
+       {std::pair(kShardKeyHeader, "65536"), std::pair(kShardKeyHeader, "-1"),
         std::pair(kDeadlineMsHeader, "soon")}) {
     io::HttpRequest request = caller_request();
     for (auto& [field, content] : request.headers) {
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -148,7 +148,7 @@
             {{"Host", "h"},
              {kRequestIdHeader, id},
              {kDeadlineMsHeader, "2000"},
-             {kShardKey, std::to_string(key)}},
+             {kShardKeyHeader, std::to_string(key)}},
             "",
             {}};
   }
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -329,7 +329,7 @@
     const std::string* id = io::find_header(request.headers, kRequestIdHeader);
     const std::string* expected =
         io::find_header(request.headers, kExpectInstanceHeader);
-    auto key = io::number_header(request.headers, kShardKey);
+    auto key = io::number_header(request.headers, kShardKeyHeader);
     bool wrong = expected == nullptr || *expected != name_ ||
                  (keyed_ && (!key || !holds(static_cast<std::uint32_t>(*key))));
     if (wrong || id == nullptr) {
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -72,7 +72,7 @@
       {}};
   if (caller.kind == Kind::kKeyed) {
     request.headers.emplace_back(
-        platform::kShardKey,
+        platform::kShardKeyHeader,
         std::to_string(
             std::uniform_int_distribution<std::uint32_t>(0, 65'535)(random_)));
   }
