--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -318,7 +318,7 @@
       keys_[key] = {std::max(keys_[key].epoch, epoch), until};
     }
     io::HeaderFields headers;
-    if (!grant) headers.emplace_back(kHandover, "warm");
+    if (!grant) headers.emplace_back(kHandoverHeader, "warm");
     exchange.answer({200, headers, "{}"});
   }
 
