--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -218,7 +218,7 @@
 TEST(PlatformRequests, RetryAfterIsNamedInSeconds) {
   io::HttpResponse answer =
       HeaderFormat().own_answer("id1", 503, milliseconds(250), "full");
-  EXPECT_EQ(*io::find_header(answer.headers, kRetryAfter), "0.250");
+  EXPECT_EQ(*io::find_header(answer.headers, kRetryAfterHeader), "0.250");
   EXPECT_EQ(io::find_header(answer.headers, kResponseStampHeader), nullptr);
 }
 
