--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -16,7 +16,7 @@
 inline constexpr Duration kPauseThreshold = milliseconds(400);
 
 // Coordinator lease, in the store.
-inline constexpr Duration kCoordinatorTerm = milliseconds(2000);
+inline constexpr Duration kCoordinatorLeaseTerm = milliseconds(2000);
 inline constexpr Duration kCoordinatorRenewInterval = milliseconds(500);
 /// Allowance for two clocks running at different rates, on every lease.
 inline constexpr Duration kLeaseMargin = milliseconds(100);
--- a/src/core/membership/zone_lease.cc
+++ b/src/core/membership/zone_lease.cc
@@ -10,8 +10,10 @@
 namespace {
 
 constexpr StoreOpId kNoOp{0};
-constexpr Duration kLapseWait = config::kCoordinatorTerm + config::kLeaseMargin;
-constexpr Duration kValidity = config::kCoordinatorTerm - config::kLeaseMargin;
+constexpr Duration kLapseWait =
+    config::kCoordinatorLeaseTerm + config::kLeaseMargin;
+constexpr Duration kValidity =
+    config::kCoordinatorLeaseTerm - config::kLeaseMargin;
 
 const CoordinatorLease* known_lease(const core::State& state,
                                     const ZoneName& zone) {
