--- a/src/core/membership/fronts.h
+++ b/src/core/membership/front_assignment.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CORE_MEMBERSHIP_FRONTS_H_
-#define EELGRASSPIN_CORE_MEMBERSHIP_FRONTS_H_
+#ifndef EELGRASSPIN_CORE_MEMBERSHIP_FRONT_ASSIGNMENT_H_
+#define EELGRASSPIN_CORE_MEMBERSHIP_FRONT_ASSIGNMENT_H_
 
 #include <cstddef>
 #include <map>
@@ -27,4 +27,4 @@
 
 }  // namespace eelgrasspin::core::membership
 
-#endif  // EELGRASSPIN_CORE_MEMBERSHIP_FRONTS_H_
+#endif  // EELGRASSPIN_CORE_MEMBERSHIP_FRONT_ASSIGNMENT_H_
--- a/src/core/membership/fronts.cc
+++ b/src/core/membership/fronts.cc
@@ -1,11 +1,11 @@
-#include "core/membership/fronts.h"
-
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cstdint>
 #include <string>
 
+#include "core/membership/front_assignment.h"
+
 namespace eelgrasspin::core::membership {
 namespace {
 
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "core/membership/fences.h"
-#include "core/membership/fronts.h"
+#include "core/membership/front_assignment.h"
 #include "core/membership/liveness.h"
 #include "core/membership/losses.h"
 #include "core/membership/reports.h"
