--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -52,7 +52,7 @@
       list(*books_.back(), "book");
     }
     store_.put(kServersKind, "i-foreign", R"({"addr":7})");
-    store_.put(kConfigKind, kConfigName, kConfiguration);
+    store_.put(kConfigKind, kActiveConfigName, kConfiguration);
   }
 
   ~PlatformEndToEnd() override {
--- a/tests/soak/fleet.cc
+++ b/tests/soak/fleet.cc
@@ -13,8 +13,8 @@
 namespace {
 
 namespace json = boost::json;
+using platform::kActiveConfigName;
 using platform::kConfigKind;
-using platform::kConfigName;
 using platform::kServersKind;
 
 constexpr int kCallersPort = 18'080;
@@ -242,7 +242,7 @@
 void Fleet::publish() {
   std::uint64_t version =
       published_.empty() ? 1 : published_.back().version + 1;
-  store_.put(kConfigKind, kConfigName, configuration(version));
+  store_.put(kConfigKind, kActiveConfigName, configuration(version));
   published_.push_back({version, io::steady_now()});
 }
 
