--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -22,7 +22,7 @@
 inline constexpr Duration kLeaseMargin = milliseconds(100);
 /// Silence of the coordinator after which a daemon of its zone reads the lease
 /// itself.
-inline constexpr Duration kCoordinatorSilence = milliseconds(1000);
+inline constexpr Duration kCoordinatorTimeout = milliseconds(1000);
 inline constexpr Duration kLeaseReadInterval = milliseconds(500);
 /// Extra wait before a daemon of another zone of the region stands for an empty
 /// zone's coordinator.
--- a/src/core/membership/zone_lease.cc
+++ b/src/core/membership/zone_lease.cc
@@ -308,7 +308,7 @@
   const ZoneLease* lease = observed_lease(state, zone);
   if (lease == nullptr) return true;
   TimePoint from = std::max(lease->heard, state.membership.resumed);
-  return now.mono - from > config::kCoordinatorSilence;
+  return now.mono - from > config::kCoordinatorTimeout;
 }
 
 void release_lease(core::State& state, const ZoneName& zone) {
--- a/src/core/membership/zone_lease.h
+++ b/src/core/membership/zone_lease.h
@@ -20,7 +20,7 @@
                     Now now);
 
 /// Whether nothing was heard from a zone's coordinator for
-/// config::kCoordinatorSilence.
+/// config::kCoordinatorTimeout.
 bool coordinator_is_silent(const core::State& state, const ZoneName& zone,
                            Now now);
 
