--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -260,8 +260,8 @@
   return object;
 }
 
-fleet::HeartbeatBundle bundle_of(const json::object& object) {
-  fleet::HeartbeatBundle bundle;
+fleet::HeartbeatBatch bundle_of(const json::object& object) {
+  fleet::HeartbeatBatch bundle;
   bundle.relay = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     bundle.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
@@ -275,7 +275,7 @@
   return json::serialize(heartbeat_object(heartbeat));
 }
 
-std::string encode_bundle(const fleet::HeartbeatBundle& bundle) {
+std::string encode_bundle(const fleet::HeartbeatBatch& bundle) {
   json::array heartbeats;
   for (const fleet::Heartbeat& heartbeat : bundle.heartbeats) {
     heartbeats.push_back(heartbeat_object(heartbeat));
--- a/src/codec/fleet_json.h
+++ b/src/codec/fleet_json.h
@@ -11,11 +11,11 @@
 /// What daemons of a fleet send each other and keep in the store, as JSON.
 namespace eelgrasspin::codec {
 
-using DaemonMessage = std::variant<fleet::Heartbeat, fleet::HeartbeatBundle,
+using DaemonMessage = std::variant<fleet::Heartbeat, fleet::HeartbeatBatch,
                                    fleet::MapChange, fleet::StoreUpdate>;
 
 std::string encode_heartbeat(const fleet::Heartbeat& heartbeat);
-std::string encode_bundle(const fleet::HeartbeatBundle& bundle);
+std::string encode_bundle(const fleet::HeartbeatBatch& bundle);
 std::string encode_store_update(const fleet::StoreUpdate& update);
 std::string encode_map_change(const fleet::MapChange& change);
 Result<DaemonMessage> decode_datagram(std::string_view text);
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -40,7 +40,7 @@
   std::vector<Endpoint> to;
 };
 struct SendBundle {
-  HeartbeatBundle bundle;
+  HeartbeatBatch bundle;
   std::vector<Endpoint> to;
 };
 struct SendMapChange {
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -64,7 +64,7 @@
 };
 
 struct BundleReceived {
-  HeartbeatBundle bundle;
+  HeartbeatBatch bundle;
 };
 
 /// Changes of the store that the zone's relay has seen.
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -198,7 +198,7 @@
 };
 
 /// Heartbeats of one availability zone's daemons, passed on to another zone.
-struct HeartbeatBundle {
+struct HeartbeatBatch {
   std::vector<Heartbeat> heartbeats;
   /// The receiver passes it on to the daemons of its zone.
   bool relay = false;
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -45,8 +45,8 @@
   return to;
 }
 
-HeartbeatBundle own_bundle(State& state, bool far, TimePoint now) {
-  HeartbeatBundle bundle;
+HeartbeatBatch own_bundle(State& state, bool far, TimePoint now) {
+  HeartbeatBatch bundle;
   bundle.relay = true;
   bundle.heartbeats.push_back(own_heartbeat(state, now, far));
   bool full = ++state.fleet.bundles % config::kFullHeartbeats == 1;
@@ -197,7 +197,7 @@
   if (received.bundle.relay) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
-      HeartbeatBundle copy = received.bundle;
+      HeartbeatBatch copy = received.bundle;
       copy.relay = false;
       effects.emplace_back(SendBundle{std::move(copy), std::move(to)});
     }
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -295,7 +295,7 @@
   std::visit(Overloaded{[this](fleet::Heartbeat& heartbeat) {
                           apply(fleet::HeartbeatReceived{std::move(heartbeat)});
                         },
-                        [this](fleet::HeartbeatBundle& bundle) {
+                        [this](fleet::HeartbeatBatch& bundle) {
                           apply(fleet::BundleReceived{std::move(bundle)});
                         },
                         [this](fleet::StoreUpdate& update) {
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -87,7 +87,7 @@
 }
 
 TEST(FleetMessages, BundlesKeepAgesAndViews) {
-  fleet::HeartbeatBundle bundle;
+  fleet::HeartbeatBatch bundle;
   bundle.relay = true;
   fleet::Heartbeat heartbeat;
   heartbeat.daemon = {DaemonName("d1"), Incarnation(5),         ZoneName("z"),
@@ -98,7 +98,7 @@
   bundle.heartbeats = {heartbeat, heartbeat};
   auto decoded = decode_datagram(encode_bundle(bundle));
   ASSERT_TRUE(ok(decoded));
-  const auto& read = std::get<fleet::HeartbeatBundle>(value(decoded));
+  const auto& read = std::get<fleet::HeartbeatBatch>(value(decoded));
   EXPECT_TRUE(read.relay);
   ASSERT_EQ(read.heartbeats.size(), 2u);
   EXPECT_EQ(read.heartbeats[1].daemon, heartbeat.daemon);
