--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -39,7 +39,7 @@
   Heartbeat heartbeat;
   std::vector<Endpoint> to;
 };
-struct SendBundle {
+struct SendHeartbeatBatch {
   HeartbeatBatch bundle;
   std::vector<Endpoint> to;
 };
@@ -101,7 +101,7 @@
 };
 
 using Effect = std::variant<SendAttempt, CancelAttempt, RelayAnswer,
-                            AnswerCaller, SendHeartbeat, SendBundle,
+                            AnswerCaller, SendHeartbeat, SendHeartbeatBatch,
                             SendMapChange, SendStoreUpdate, WatchStore, CatchUp,
                             WriteMap, ReadMap, GrantKeys, ReleaseKeys, Note>;
 using Effects = std::vector<Effect>;
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -78,7 +78,8 @@
 void send_bundle(State& state, bool far, TimePoint now, Effects& effects) {
   std::vector<Endpoint> to = relays(state, far, now);
   if (to.empty()) return;
-  effects.emplace_back(SendBundle{own_bundle(state, far, now), std::move(to)});
+  effects.emplace_back(
+      SendHeartbeatBatch{own_bundle(state, far, now), std::move(to)});
 }
 
 using KeyWeights = std::map<ShardKey, double>;
@@ -199,7 +200,7 @@
     if (!to.empty()) {
       HeartbeatBatch copy = received.bundle;
       copy.relay = false;
-      effects.emplace_back(SendBundle{std::move(copy), std::move(to)});
+      effects.emplace_back(SendHeartbeatBatch{std::move(copy), std::move(to)});
     }
   }
   retry_waiting(state, now, effects);
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -155,7 +155,7 @@
           [this](const fleet::SendHeartbeat& e) {
             send_datagrams(codec::encode_heartbeat(e.heartbeat), e.to);
           },
-          [this](const fleet::SendBundle& e) {
+          [this](const fleet::SendHeartbeatBatch& e) {
             send_datagrams(codec::encode_bundle(e.bundle), e.to);
           },
           [this](const fleet::SendMapChange& e) {
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -274,7 +274,7 @@
                    [&](const SendHeartbeat& e) {
                      broadcast(daemon, e.to, HeartbeatReceived{e.heartbeat});
                    },
-                   [&](const SendBundle& e) {
+                   [&](const SendHeartbeatBatch& e) {
                      broadcast(daemon, e.to, BundleReceived{e.bundle});
                    },
                    [&](const SendMapChange& e) {
