--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -63,7 +63,7 @@
   Heartbeat heartbeat;
 };
 
-struct BundleReceived {
+struct HeartbeatBatchReceived {
   HeartbeatBatch bundle;
 };
 
@@ -135,7 +135,7 @@
     std::variant<ConfigurationSeen, ServersListed, ServerSeen, ServerRemoved,
                  ViewListed, StoreChanged, StoreUpdateReceived, MapSeen,
                  MapMissing, DaemonSeen, MapWriteEnded, StoreAnswered,
-                 StoreFailed, HeartbeatReceived, BundleReceived,
+                 StoreFailed, HeartbeatReceived, HeartbeatBatchReceived,
                  MapChangeReceived, RequestReceived, CallerLeft, AttemptEnded,
                  OrderEnded, Tick, StopOrdered, Resumed>;
 
--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -103,7 +103,9 @@
           [&](const HeartbeatReceived& e) {
             on_heartbeat(state, e, now, effects);
           },
-          [&](const BundleReceived& e) { on_bundle(state, e, now, effects); },
+          [&](const HeartbeatBatchReceived& e) {
+            on_bundle(state, e, now, effects);
+          },
           [&](const MapChangeReceived& e) {
             on_map_change(state, e, now, effects);
           },
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -188,8 +188,8 @@
          distance_to(state, server.server.zone) == Distance::kFar;
 }
 
-void on_bundle(State& state, const BundleReceived& received, TimePoint now,
-               Effects& effects) {
+void on_bundle(State& state, const HeartbeatBatchReceived& received,
+               TimePoint now, Effects& effects) {
   bool news = false;
   for (const Heartbeat& heartbeat : received.bundle.heartbeats) {
     news = accept_heartbeat(state, heartbeat, now, effects) || news;
--- a/src/fleet/zone_relay.h
+++ b/src/fleet/zone_relay.h
@@ -21,8 +21,8 @@
 std::vector<Endpoint> zone_members(const State& state);
 
 /// Daemons of other zones, as their relay heard them.
-void on_bundle(State& state, const BundleReceived& received, TimePoint now,
-               Effects& effects);
+void on_bundle(State& state, const HeartbeatBatchReceived& received,
+               TimePoint now, Effects& effects);
 /// Passes on the heartbeats of the own zone, if this daemon is its relay.
 void send_bundles(State& state, TimePoint now, Effects& effects);
 /// Reports the heat of each keyed service towards its coordinator: to it from
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -292,19 +292,20 @@
                            {{"from", sender_.address().to_string()},
                             {"why", error(message).message}}});
   }
-  std::visit(Overloaded{[this](fleet::Heartbeat& heartbeat) {
-                          apply(fleet::HeartbeatReceived{std::move(heartbeat)});
-                        },
-                        [this](fleet::HeartbeatBatch& bundle) {
-                          apply(fleet::BundleReceived{std::move(bundle)});
-                        },
-                        [this](fleet::StoreUpdate& update) {
-                          apply(fleet::StoreUpdateReceived{std::move(update)});
-                        },
-                        [this](fleet::MapChange& change) {
-                          apply(fleet::MapChangeReceived{std::move(change)});
-                        }},
-             value(message));
+  std::visit(
+      Overloaded{[this](fleet::Heartbeat& heartbeat) {
+                   apply(fleet::HeartbeatReceived{std::move(heartbeat)});
+                 },
+                 [this](fleet::HeartbeatBatch& bundle) {
+                   apply(fleet::HeartbeatBatchReceived{std::move(bundle)});
+                 },
+                 [this](fleet::StoreUpdate& update) {
+                   apply(fleet::StoreUpdateReceived{std::move(update)});
+                 },
+                 [this](fleet::MapChange& change) {
+                   apply(fleet::MapChangeReceived{std::move(change)});
+                 }},
+      value(message));
 }
 
 void FleetShell::on_metrics(const std::shared_ptr<HttpExchange>& exchange) {
