--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -38,11 +38,11 @@
           capacity == nullptr ? 0 : capacity->to_number<std::uint32_t>()};
 }
 
-json::array life_array(const fleet::ServerLife& life) {
+json::array life_array(const fleet::ServerIncarnation& life) {
   return {life.name.str(), life.incarnation.value};
 }
 
-fleet::ServerLife life_of(const json::value& value) {
+fleet::ServerIncarnation life_of(const json::value& value) {
   const json::array& parts = value.as_array();
   return {ServerName(view_of(parts.at(0))), Incarnation(number(parts.at(1)))};
 }
@@ -159,7 +159,7 @@
   json::array ranges;
   for (const fleet::KeyRange& range : list) {
     json::array previous;
-    for (const fleet::ServerLife& life : range.previous) {
+    for (const fleet::ServerIncarnation& life : range.previous) {
       previous.push_back(life_array(life));
     }
     ranges.push_back(json::array{range.first.value, range.last.value,
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -60,8 +60,8 @@
 }
 
 void release(State& state, const ServiceName& service, const KeyRange& range,
-             Lease& lease, const ServerLife& from, const Endpoint& address,
-             TimePoint now, Effects& effects) {
+             Lease& lease, const ServerIncarnation& from,
+             const Endpoint& address, TimePoint now, Effects& effects) {
   std::uint64_t order =
       start_order(state, lease,
                   {service, true, from, range.first, range.last, range.epoch,
@@ -77,7 +77,7 @@
 
 /// A grant for some of these keys waits for its answer.
 bool grant_under_way(const State& state, const KeyRange& range,
-                     const ServerLife& life) {
+                     const ServerIncarnation& life) {
   return std::any_of(
       state.orders.begin(), state.orders.end(), [&](const auto& item) {
         const Order& order = item.second;
@@ -86,7 +86,7 @@
 }
 
 bool lapsed(const State& state, const Coordination& duty, const KeyRange& range,
-            const ServerLife& life, TimePoint now) {
+            const ServerIncarnation& life, TimePoint now) {
   return !grant_under_way(state, range, life) &&
          std::none_of(duty.holds.begin(), duty.holds.end(),
                       [&](const PossibleHold& hold) {
@@ -98,8 +98,8 @@
 /// A released life refuses every lower epoch, also in grants that it carries
 /// out late.
 bool is_free(const State& state, const Coordination& duty,
-             const KeyRange& range, const Lease& lease, const ServerLife& life,
-             TimePoint now) {
+             const KeyRange& range, const Lease& lease,
+             const ServerIncarnation& life, TimePoint now) {
   // A grant meant for an earlier life may have reached the next one, so the end
   // of a life proves nothing of its address.
   return life.name == range.owner.name ||
@@ -112,7 +112,7 @@
                const KeyRange& range, Lease& lease, TimePoint now,
                Effects& effects) {
   bool all_free = true;
-  for (const ServerLife& life : range.previous) {
+  for (const ServerIncarnation& life : range.previous) {
     if (is_free(state, duty, range, lease, life, now)) continue;
     all_free = false;
     auto server = state.servers.find(life.name);
@@ -218,7 +218,7 @@
 }
 
 /// A server that no longer listens and is no longer listed has ended.
-bool process_gone(const State& state, const ServerLife& life) {
+bool process_gone(const State& state, const ServerIncarnation& life) {
   auto server = state.servers.find(life.name);
   return server != state.servers.end() && server->second.removed;
 }
@@ -246,7 +246,7 @@
   duty.holds.push_back(hold);
 }
 
-bool is_silent(const Coordination& duty, const ServerLife& life,
+bool is_silent(const Coordination& duty, const ServerIncarnation& life,
                TimePoint now) {
   auto found = duty.health.find(life);
   if (found == duty.health.end()) return false;
--- a/src/fleet/leases.h
+++ b/src/fleet/leases.h
@@ -17,7 +17,8 @@
 /// lapsed at the server, whose clock may be slow.
 Duration lapse_after(const Settings& settings, Duration hold);
 /// No connection to the server could be made of late.
-bool is_silent(const Coordination& duty, const ServerLife& life, TimePoint now);
+bool is_silent(const Coordination& duty, const ServerIncarnation& life,
+               TimePoint now);
 /// Every lease of a range that is on its way to a new owner and has arrived.
 bool has_arrived(const MapState& map, const KeyRange& range);
 
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -72,21 +72,21 @@
 };
 
 /// One life of a backend server.
-struct ServerLife {
+struct ServerIncarnation {
   ServerName name;
   Incarnation incarnation;
-  auto operator<=>(const ServerLife&) const = default;
+  auto operator<=>(const ServerIncarnation&) const = default;
 };
 
 /// Keys `first` to `last`, both inclusive, and who owns them.
 struct KeyRange {
   ShardKey first;
   ShardKey last;
-  ServerLife owner;
+  ServerIncarnation owner;
   Epoch epoch;
   /// Not empty while the keys are on the way to `owner`: the lives that may
   /// still hold them.
-  std::vector<ServerLife> previous;
+  std::vector<ServerIncarnation> previous;
   bool operator==(const KeyRange&) const = default;
 };
 
@@ -128,7 +128,7 @@
 /// A request was at a server when it crashed.
 struct Strike {
   Fingerprint request;
-  ServerLife server;
+  ServerIncarnation server;
 };
 
 /// What a daemon tells the others, several times a second.
--- a/src/fleet/placement.cc
+++ b/src/fleet/placement.cc
@@ -24,7 +24,7 @@
 constexpr double kFasterRatio = 1.25;
 
 struct Loads {
-  std::map<ServerLife, double> of;
+  std::map<ServerIncarnation, double> of;
   double total = 0;
   double per_key = 0;  ///< Assumed of each key besides its heat.
 };
@@ -105,8 +105,9 @@
 }
 
 std::optional<Run> best_run_of_server(const PlacementInput& input,
-                                      const ServerLife& life, double per_key,
-                                      double wanted, double most) {
+                                      const ServerIncarnation& life,
+                                      double per_key, double wanted,
+                                      double most) {
   std::optional<Run> best;
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
     if (input.ranges[i].owner != life || !input.movable[i]) continue;
@@ -119,7 +120,7 @@
 /// An idle newcomer gets half of the widest range even when little is known of
 /// the heat, so that it does not stand by unused.
 std::optional<Run> half_of_widest(const PlacementInput& input,
-                                  const ServerLife& life) {
+                                  const ServerIncarnation& life) {
   const KeyRange* widest = nullptr;
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
     const KeyRange& range = input.ranges[i];
@@ -147,7 +148,7 @@
 }
 
 const PlacedServer* find_server(const PlacementInput& input,
-                                const ServerLife& life) {
+                                const ServerIncarnation& life) {
   for (const PlacedServer& server : input.servers) {
     if (server.life == life) return &server;
   }
@@ -155,7 +156,7 @@
 }
 
 const PlacedServer* newcomer_of(const PlacementInput& input) {
-  std::set<ServerLife> owners;
+  std::set<ServerIncarnation> owners;
   for (const KeyRange& range : input.ranges) owners.insert(range.owner);
   for (const PlacedServer& server : input.servers) {
     if (owners.count(server.life) == 0) return &server;
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -12,7 +12,7 @@
 namespace eelgrasspin::fleet {
 
 struct PlacedServer {
-  ServerLife life;
+  ServerIncarnation life;
   double capacity = 1.0;  ///< Requests a second that it can serve.
 };
 
@@ -26,7 +26,7 @@
 struct Move {
   ShardKey first;
   ShardKey last;
-  ServerLife to;
+  ServerIncarnation to;
 };
 
 /// Equal contiguous ranges over the whole key space.
--- a/src/fleet/quarantine.cc
+++ b/src/fleet/quarantine.cc
@@ -6,14 +6,14 @@
 
 namespace eelgrasspin::fleet {
 
-void suspect(State& state, Fingerprint request, const ServerLife& server,
+void suspect(State& state, Fingerprint request, const ServerIncarnation& server,
              TimePoint now) {
   state.suspects.push_back({request, server, now});
   if (state.suspects.size() > config::kMaxSuspects) state.suspects.pop_front();
 }
 
-void on_server_crash(State& state, const ServerLife& server, TimePoint now,
-                     Effects& effects) {
+void on_server_crash(State& state, const ServerIncarnation& server,
+                     TimePoint now, Effects& effects) {
   for (const Suspect& item : state.suspects) {
     if (item.server != server || now - item.at > config::kCrashWindow) continue;
     bool added = state.strikes[item.request].emplace(server, now).second;
--- a/src/fleet/quarantine.h
+++ b/src/fleet/quarantine.h
@@ -8,12 +8,12 @@
 namespace eelgrasspin::fleet {
 
 /// The request's connection to this server broke while it was being served.
-void suspect(State& state, Fingerprint request, const ServerLife& server,
+void suspect(State& state, Fingerprint request, const ServerIncarnation& server,
              TimePoint now);
 /// The server's process has ended: requests that were at it shortly before get
 /// a strike.
-void on_server_crash(State& state, const ServerLife& server, TimePoint now,
-                     Effects& effects);
+void on_server_crash(State& state, const ServerIncarnation& server,
+                     TimePoint now, Effects& effects);
 /// Strikes that another daemon has seen.
 void on_strikes(State& state, const std::vector<Strike>& strikes,
                 TimePoint now);
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -161,11 +161,11 @@
   return !server.leaving && !server.removed;
 }
 
-ServerLife life_of(const Server& server) {
+ServerIncarnation life_of(const Server& server) {
   return {server.name, server.incarnation};
 }
 
-bool is_current(const State& state, const ServerLife& life) {
+bool is_current(const State& state, const ServerIncarnation& life) {
   auto found = state.servers.find(life.name);
   return found != state.servers.end() && accepts_work(found->second) &&
          found->second.server.incarnation == life.incarnation;
--- a/src/fleet/registry.h
+++ b/src/fleet/registry.h
@@ -21,8 +21,8 @@
 /// New work may be sent to the server.
 bool accepts_work(const ServerState& server);
 /// The life is listed, not leaving.
-bool is_current(const State& state, const ServerLife& life);
-ServerLife life_of(const Server& server);
+bool is_current(const State& state, const ServerIncarnation& life);
+ServerIncarnation life_of(const Server& server);
 /// Requests of all daemons at the server, as far as they are known.
 std::uint32_t load_at(const State& state, const ServerState& server,
                       TimePoint now);
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -67,7 +67,7 @@
     return silent;
   }
   for (const ServerName& name : listed->second) {
-    ServerLife life = life_of(state.servers.at(name).server);
+    ServerIncarnation life = life_of(state.servers.at(name).server);
     if (is_silent(*map->second.duty, life, now)) silent.insert(name);
   }
   double most =
@@ -168,8 +168,9 @@
 
 /// The life that keys of a lost one go to: its next life if the server has
 /// started again, else the least loaded server.
-std::optional<ServerLife> heir(const State& state, const ServerLife& lost,
-                               const PlacementInput& input) {
+std::optional<ServerIncarnation> heir(const State& state,
+                                      const ServerIncarnation& lost,
+                                      const PlacementInput& input) {
   auto again = state.servers.find(lost.name);
   if (again != state.servers.end() && accepts_work(again->second) &&
       again->second.server.incarnation != lost.incarnation) {
@@ -210,7 +211,7 @@
   next.ranges = std::move(input.ranges);
   for (KeyRange& range : next.ranges) {
     // A higher epoch at the same server needs no release first.
-    std::erase_if(range.previous, [&range](const ServerLife& life) {
+    std::erase_if(range.previous, [&range](const ServerIncarnation& life) {
       return life.name == range.owner.name;
     });
   }
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -60,7 +60,7 @@
 
 /// What one daemon knows of the order it gave last for a range.
 struct Lease {
-  ServerLife owner;
+  ServerIncarnation owner;
   Epoch epoch;
   bool confirmed = false;   ///< The owner has answered a grant at this epoch.
   bool fenced = false;      ///< The owner has seen a higher epoch.
@@ -72,14 +72,14 @@
   TimePoint next_try;
   std::string handover;
   /// Lives of `previous` that no longer hold the keys.
-  std::set<ServerLife> released;
+  std::set<ServerIncarnation> released;
 };
 
 /// What a server may hold by orders given so far.
 struct PossibleHold {
   ShardKey first;
   ShardKey last;
-  ServerLife owner;
+  ServerIncarnation owner;
   /// When every grant that may have been carried out has lapsed.
   TimePoint until;
 };
@@ -94,7 +94,7 @@
 struct Order {
   ServiceName service;
   bool release = false;
-  ServerLife server;
+  ServerIncarnation server;
   ShardKey first;
   ShardKey last;
   Epoch epoch;
@@ -106,7 +106,7 @@
 struct Coordination {
   std::map<ShardKey, Lease> leases;  ///< By first key of the range.
   std::vector<PossibleHold> holds;
-  std::map<ServerLife, OrderHealth> health;
+  std::map<ServerIncarnation, OrderHealth> health;
   /// Who coordinated before, until it is known to have stopped.
   std::optional<std::pair<DaemonName, Incarnation>> predecessor;
   TimePoint placed;
@@ -168,7 +168,7 @@
 /// A request whose connection to a server broke.
 struct Suspect {
   Fingerprint request;
-  ServerLife server;
+  ServerIncarnation server;
   TimePoint at;
 };
 
@@ -217,7 +217,7 @@
   /// The longest deadline that callers have named, by route name.
   std::map<std::string, Duration> deadlines;
   std::deque<Suspect> suspects;  ///< Oldest first.
-  std::map<Fingerprint, std::map<ServerLife, TimePoint>> strikes;
+  std::map<Fingerprint, std::map<ServerIncarnation, TimePoint>> strikes;
   std::map<StoreView, ViewState> views;
   /// Watches the store itself; otherwise the zone's relay tells changes.
   bool watching = true;
--- a/tests/fleet_ownership_test.cc
+++ b/tests/fleet_ownership_test.cc
@@ -280,7 +280,8 @@
 TEST(FleetOwnership, HotKeysMoveAwayFromAnOverloadedServer) {
   FleetWorld world(2, 4, 12);
   world.run_for(kSettled);
-  ServerLife before = find_range(*world.stored_map(), ShardKey(100))->owner;
+  ServerIncarnation before =
+      find_range(*world.stored_map(), ShardKey(100))->owner;
   for (int i = 0; i < 40; ++i) {
     for (std::uint32_t key = 100; key < 110; ++key) world.heat(0, key, 0.4);
     world.run_for(milliseconds(100));
--- a/tests/fleet_placement_test.cc
+++ b/tests/fleet_placement_test.cc
@@ -10,7 +10,7 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-ServerLife life(int number) {
+ServerIncarnation life(int number) {
   return {ServerName("s" + std::to_string(number)), Incarnation(1)};
 }
 
@@ -134,11 +134,11 @@
   ASSERT_EQ(input.ranges.size(), 4u);
   EXPECT_EQ(input.ranges[1].owner, life(1));
   EXPECT_EQ(input.ranges[1].epoch, Epoch(5));
-  EXPECT_EQ(input.ranges[1].previous, std::vector<ServerLife>{life(0)});
+  EXPECT_EQ(input.ranges[1].previous, std::vector<ServerIncarnation>{life(0)});
   // On the way again before it arrived: both may hold.
   assign(input.ranges, {ShardKey(10), ShardKey(19), life(7)}, Epoch(6));
   EXPECT_EQ(input.ranges[1].previous,
-            (std::vector<ServerLife>{life(0), life(1)}));
+            (std::vector<ServerIncarnation>{life(0), life(1)}));
 }
 
 RC_GTEST_PROP(FleetPlacementProperty, MovesKeepTheKeySpaceWhole, ()) {
