--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -281,7 +281,7 @@
       in_flight_at;  ///< Requests in flight when each step was reached.
   std::uint64_t slots_owned = 0;  ///< Slots that still have an owner.
   std::vector<DaemonName>
-      not_heard;  ///< Daemons whose account is older than the step.
+      not_reported;  ///< Daemons whose account is older than the step.
   std::vector<DaemonAccount> accounts;
   std::vector<OwnershipSpan> ownership;
 
@@ -301,7 +301,7 @@
   std::map<ZoneName, ClosureStep>
       zones;  ///< As last seen when the step was written.
   std::vector<ZoneName>
-      not_heard;  ///< Zones that had not answered at the deadline.
+      not_reported;  ///< Zones that had not answered at the deadline.
   std::map<std::string, std::string>
       part_hashes;   ///< Sealed: part name -> XXH3 128-bit hash, hex.
   std::string seal;  ///< Sealed: hash over the whole report.
--- a/src/codec/record_fields_p.h
+++ b/src/codec/record_fields_p.h
@@ -205,7 +205,7 @@
   a("reached", v.reached);
   a("in_flight_at", v.in_flight_at);
   a("slots_owned", v.slots_owned);
-  a("not_heard", v.not_heard);
+  a("not_heard", v.not_reported);
   a("accounts", v.accounts);
   a("ownership", v.ownership);
 }
@@ -221,7 +221,7 @@
   a("step", v.step);
   a("write_id", v.write_id);
   a("zones", v.zones);
-  a("not_heard", v.not_heard);
+  a("not_heard", v.not_reported);
   a("part_hashes", v.part_hashes);
   a("seal", v.seal);
   a("sealed_at", v.sealed_at);
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -67,7 +67,7 @@
   for (const DaemonAccount& account : part.accounts) {
     auto it = heard.find(account.daemon);
     if (it == heard.end() || it->second.incarnation != account.incarnation)
-      part.not_heard.push_back(account.daemon);
+      part.not_reported.push_back(account.daemon);
   }
   part.ownership = ownership::history(state, closure.service, zone);
   part.write_id = new_write_id(state);
@@ -134,7 +134,7 @@
   }
   closure.step = goal;
   for (const ZoneName& zone : passed_over) {
-    auto& known = closure.not_heard;
+    auto& known = closure.not_reported;
     if (std::find(known.begin(), known.end(), zone) == known.end())
       known.push_back(zone);
   }
--- a/src/core/operator/report.cc
+++ b/src/core/operator/report.cc
@@ -48,8 +48,8 @@
                     "answered", "not_run", "unknown", "in_flight"},
                    {}}};
   for (const DaemonAccount& account : part.accounts) {
-    bool silent = std::find(part.not_heard.begin(), part.not_heard.end(),
-                            account.daemon) != part.not_heard.end();
+    bool silent = std::find(part.not_reported.begin(), part.not_reported.end(),
+                            account.daemon) != part.not_reported.end();
     section.table.rows.push_back(
         {account.daemon.str(), number(account.incarnation.value),
          format_time(account.as_of), silent ? "not heard since as_of" : "yes",
@@ -112,9 +112,9 @@
 
 Section summary_section(const Closure& closure) {
   Section section{std::string(kSummaryTitle), {{"field", "value"}, {}}};
-  std::string not_heard;
-  for (const ZoneName& zone : closure.not_heard)
-    not_heard += (not_heard.empty() ? "" : " ") + zone.str();
+  std::string not_reported;
+  for (const ZoneName& zone : closure.not_reported)
+    not_reported += (not_reported.empty() ? "" : " ") + zone.str();
   section.table.rows = {{"service", closure.service.str()},
                         {"closure", closure.id},
                         {"ordered_by", closure.ordered_by.str()},
@@ -125,7 +125,7 @@
                         {"sealed", closure.step == ClosureStep::kSealed
                                        ? format_time(closure.sealed_at)
                                        : ""},
-                        {"zones_not_heard", not_heard},
+                        {"zones_not_heard", not_reported},
                         {"seal", closure.seal}};
   return section;
 }
