--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -59,7 +59,7 @@
   json::array heats;
   for (const auto& heat : heartbeat.heats) {
     json::array keys;
-    for (const fleet::KeyHeat& key : heat.keys) {
+    for (const fleet::KeyLoad& key : heat.keys) {
       keys.push_back(key.key.value);
       keys.push_back(hundredths(key.weight));
     }
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -117,7 +117,7 @@
 };
 
 /// Requests of one daemon for one key, decayed over time.
-struct KeyHeat {
+struct KeyLoad {
   ShardKey key;
   double weight = 0;
 };
@@ -160,7 +160,7 @@
   /// Only in heartbeats to the coordinator of the service.
   struct Heat {
     ServiceName service;
-    std::vector<KeyHeat> keys;
+    std::vector<KeyLoad> keys;
     std::vector<Speed> speeds;
   };
   std::vector<Heat> heats;
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -114,7 +114,7 @@
     if (now - peer.heat_heard > config::kHeatRetention) continue;
     for (const auto& reported : peer.heartbeat.heats) {
       if (reported.service != service) continue;
-      for (const KeyHeat& key : reported.keys) {
+      for (const KeyLoad& key : reported.keys) {
         add_heat(heat, key.key, key.weight);
       }
     }
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -128,7 +128,7 @@
     }
     for (const auto& heat : peer.heartbeat.heats) {
       if (heat.service != service) continue;
-      for (const KeyHeat& key : heat.keys) keys[key.key] += key.weight;
+      for (const KeyLoad& key : heat.keys) keys[key.key] += key.weight;
       for (const auto& speed : heat.speeds) add_speed(speeds, speed);
     }
   }
@@ -146,7 +146,7 @@
       heat.keys.size(), for_zone ? config::kRelayHeatKeys : config::kHeatKeys);
   std::partial_sort(
       heat.keys.begin(), heat.keys.begin() + static_cast<std::ptrdiff_t>(kept),
-      heat.keys.end(), [](const KeyHeat& left, const KeyHeat& right) {
+      heat.keys.end(), [](const KeyLoad& left, const KeyLoad& right) {
         return left.weight > right.weight;
       });
   heat.keys.resize(kept);
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -86,7 +86,7 @@
   double reported = 0;
   for (const auto& [name, peer] : world.state(*coordinator).fleet.heard) {
     for (const auto& heat : peer.heartbeat.heats) {
-      for (const KeyHeat& key : heat.keys) {
+      for (const KeyLoad& key : heat.keys) {
         if (key.key == ShardKey(500)) reported += key.weight;
       }
     }
