--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -75,9 +75,10 @@
   return heats;
 }
 
-fleet::Heartbeat::Heat heat_of(const json::value& value) {
+fleet::Heartbeat::KeyLoadReport heat_of(const json::value& value) {
   const json::array& parts = value.as_array();
-  fleet::Heartbeat::Heat heat{ServiceName(view_of(parts.at(0))), {}, {}};
+  fleet::Heartbeat::KeyLoadReport heat{
+      ServiceName(view_of(parts.at(0))), {}, {}};
   const json::array& keys = parts.at(1).as_array();
   for (std::size_t i = 0; i + 1 < keys.size(); i += 2) {
     heat.keys.push_back({ShardKey(keys[i].to_number<std::uint32_t>()),
--- a/src/fleet/learning.cc
+++ b/src/fleet/learning.cc
@@ -10,7 +10,7 @@
 
 /// A server that has just started is assumed to take this many times as long.
 constexpr double kColdFactor = 2.0;
-/// Heat below this is dropped.
+/// KeyLoadReport below this is dropped.
 constexpr double kLeastHeat = 0.05;
 constexpr Duration kDecayInterval = milliseconds(500);
 
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -158,12 +158,12 @@
     Duration service_time{0};  ///< Their mean.
   };
   /// Only in heartbeats to the coordinator of the service.
-  struct Heat {
+  struct KeyLoadReport {
     ServiceName service;
     std::vector<KeyLoad> keys;
     std::vector<Speed> speeds;
   };
-  std::vector<Heat> heats;
+  std::vector<KeyLoadReport> heats;
   std::vector<Strike> strikes;  ///< Of the last seconds.
   /// How current the copy of a daemon is that others follow.
   struct View {
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -13,8 +13,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Heat halves in kHeatHalfLife, so a steady rate adds up to this many seconds
-/// of it.
+/// KeyLoadReport halves in kHeatHalfLife, so a steady rate adds up to this many
+/// seconds of it.
 const double kHeatSeconds =
     static_cast<double>(config::kHeatHalfLife.count()) / 1e6 / 0.6931;
 /// Answers that a server's measured speed has to rest on.
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -134,13 +134,14 @@
   }
 }
 
-Heartbeat::Heat heat_report(const State& state, const ServiceName& service,
-                            bool for_zone, TimePoint now) {
+Heartbeat::KeyLoadReport heat_report(const State& state,
+                                     const ServiceName& service, bool for_zone,
+                                     TimePoint now) {
   KeyWeights keys;
   Speeds speeds;
   add_own_heat(state, service, keys, speeds);
   if (for_zone) add_zone_heat(state, service, now, keys, speeds);
-  Heartbeat::Heat heat{service, {}, {}};
+  Heartbeat::KeyLoadReport heat{service, {}, {}};
   for (const auto& [key, weight] : keys) heat.keys.push_back({key, weight});
   std::size_t kept = std::min(
       heat.keys.size(), for_zone ? config::kRelayHeatKeys : config::kHeatKeys);
