--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -56,8 +56,8 @@
 }
 
 json::array heats_array(const fleet::Heartbeat& heartbeat) {
-  json::array heats;
-  for (const auto& heat : heartbeat.heats) {
+  json::array key_load_reports;
+  for (const auto& heat : heartbeat.key_load_reports) {
     json::array keys;
     for (const fleet::KeyLoad& key : heat.keys) {
       keys.push_back(key.key.value);
@@ -69,10 +69,10 @@
                                    hundredths(speed.answers),
                                    to_ms(speed.service_time)});
     }
-    heats.push_back(
+    key_load_reports.push_back(
         json::array{heat.service.str(), std::move(keys), std::move(speeds)});
   }
-  return heats;
+  return key_load_reports;
 }
 
 fleet::Heartbeat::KeyLoadReport heat_of(const json::value& value) {
@@ -128,9 +128,9 @@
                                             Version(number(parts.at(1))),
                                             milliseconds(number(parts.at(2)))};
   }
-  if (const json::value* heats = object.if_contains("heats")) {
-    for (const json::value& value : heats->as_array()) {
-      heartbeat.heats.push_back(heat_of(value));
+  if (const json::value* key_load_reports = object.if_contains("heats")) {
+    for (const json::value& value : key_load_reports->as_array()) {
+      heartbeat.key_load_reports.push_back(heat_of(value));
     }
   }
   if (const json::value* strikes = object.if_contains("strikes")) {
@@ -243,7 +243,8 @@
   if (heartbeat.store_silence.count() > 0) {
     object["store_silent_ms"] = to_ms(heartbeat.store_silence);
   }
-  if (!heartbeat.heats.empty()) object["heats"] = heats_array(heartbeat);
+  if (!heartbeat.key_load_reports.empty())
+    object["heats"] = heats_array(heartbeat);
   if (!heartbeat.strikes.empty()) {
     json::array strikes;
     for (const fleet::Strike& strike : heartbeat.strikes) {
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -163,7 +163,7 @@
     std::vector<KeyLoad> keys;
     std::vector<Speed> speeds;
   };
-  std::vector<KeyLoadReport> heats;
+  std::vector<KeyLoadReport> key_load_reports;
   std::vector<Strike> strikes;  ///< Of the last seconds.
   /// How current the copy of a daemon is that others follow.
   struct View {
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -129,8 +129,9 @@
   store_loads(state, peer.heartbeat, heartbeat);
   PeerState before = std::exchange(
       peer, {heartbeat, now - heartbeat.age, now - heartbeat.age});
-  if (heartbeat.heats.empty()) {
-    peer.heartbeat.heats = std::move(before.heartbeat.heats);
+  if (heartbeat.key_load_reports.empty()) {
+    peer.heartbeat.key_load_reports =
+        std::move(before.heartbeat.key_load_reports);
     peer.heat_heard = before.heat_heard;
   }
   on_strikes(state, heartbeat.strikes, now);
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -36,7 +36,7 @@
   };
   for (const auto& [name, peer] : state.fleet.heard) {
     if (now - peer.heat_heard > config::kHeatRetention) continue;
-    for (const auto& heat : peer.heartbeat.heats) {
+    for (const auto& heat : peer.heartbeat.key_load_reports) {
       if (heat.service != service) continue;
       for (const auto& speed : heat.speeds) {
         add(speed.server, speed.answers, speed.service_time);
@@ -112,7 +112,7 @@
   }
   for (const auto& [name, peer] : state.fleet.heard) {
     if (now - peer.heat_heard > config::kHeatRetention) continue;
-    for (const auto& reported : peer.heartbeat.heats) {
+    for (const auto& reported : peer.heartbeat.key_load_reports) {
       if (reported.service != service) continue;
       for (const KeyLoad& key : reported.keys) {
         add_heat(heat, key.key, key.weight);
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -38,7 +38,7 @@
 struct PeerState {
   Heartbeat heartbeat;
   TimePoint heard;
-  TimePoint heat_heard;  ///< When `heartbeat.heats` came.
+  TimePoint heat_heard;  ///< When `heartbeat.key_load_reports` came.
 };
 
 /// A daemon that announced itself in the store or by a heartbeat.
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -60,7 +60,7 @@
     Heartbeat heartbeat = peer.heartbeat;
     heartbeat.daemon = known->second;
     heartbeat.full = full;
-    heartbeat.heats.clear();
+    heartbeat.key_load_reports.clear();
     heartbeat.view.reset();
     heartbeat.age = now - peer.heard;
     if (far) {
@@ -126,7 +126,7 @@
         now - peer.heat_heard > config::kHeatRetention) {
       continue;
     }
-    for (const auto& heat : peer.heartbeat.heats) {
+    for (const auto& heat : peer.heartbeat.key_load_reports) {
       if (heat.service != service) continue;
       for (const KeyLoad& key : heat.keys) keys[key.key] += key.weight;
       for (const auto& speed : heat.speeds) add_speed(speeds, speed);
@@ -236,7 +236,8 @@
     if (!same_zone && !relays && relay) to = state.fleet.known.find(*relay);
     bool far = to->second.region != self.region;
     Heartbeat heartbeat = own_heartbeat(state, now, far);
-    heartbeat.heats.push_back(heat_report(state, service, relays, now));
+    heartbeat.key_load_reports.push_back(
+        heat_report(state, service, relays, now));
     effects.emplace_back(
         SendHeartbeat{std::move(heartbeat), {to->second.peer}});
   }
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -271,9 +271,9 @@
   heartbeat.loads = {{ServerName("s1"), 3}, {ServerName("s2"), 1}};
   heartbeat.terms = {
       {ServiceName("b"), TermEpoch(4), milliseconds(20), Version(99)}};
-  heartbeat.heats = {{ServiceName("b"),
-                      {{fleet::ShardKey(7), 1.25}},
-                      {{ServerName("s1"), 2.5, milliseconds(160)}}}};
+  heartbeat.key_load_reports = {{ServiceName("b"),
+                                 {{fleet::ShardKey(7), 1.25}},
+                                 {{ServerName("s1"), 2.5, milliseconds(160)}}}};
   std::string text = codec::encode_heartbeat(heartbeat);
   auto decoded = codec::decode_datagram(text);
   RC_ASSERT(ok(decoded));
@@ -282,7 +282,7 @@
   RC_ASSERT(read.sequence == heartbeat.sequence);
   RC_ASSERT(read.stopping == heartbeat.stopping);
   RC_ASSERT(read.loads.size() == 2u);
-  RC_ASSERT(read.heats[0].keys[0].weight == 1.25);
+  RC_ASSERT(read.key_load_reports[0].keys[0].weight == 1.25);
   auto draws = *rc::gen::container<std::vector<std::uint32_t>>(
       rc::gen::inRange<std::uint32_t>(0, 100'000));
   codec::decode_datagram(mutated(text, draws));
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -85,7 +85,7 @@
   world.run_for(milliseconds(1300));
   double reported = 0;
   for (const auto& [name, peer] : world.state(*coordinator).fleet.heard) {
-    for (const auto& heat : peer.heartbeat.heats) {
+    for (const auto& heat : peer.heartbeat.key_load_reports) {
       for (const KeyLoad& key : heat.keys) {
         if (key.key == ShardKey(500)) reported += key.weight;
       }
