--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -151,7 +151,7 @@
                         Epoch(number(parts.at(3))),
                         {}};
   for (const json::value& life : parts.at(4).as_array()) {
-    range.previous.push_back(life_of(life));
+    range.previous_owners.push_back(life_of(life));
   }
   return range;
 }
@@ -159,13 +159,13 @@
 json::array ranges_array(const std::vector<fleet::KeyRange>& list) {
   json::array ranges;
   for (const fleet::KeyRange& range : list) {
-    json::array previous;
-    for (const fleet::ServerIncarnation& life : range.previous) {
-      previous.push_back(life_array(life));
+    json::array previous_owners;
+    for (const fleet::ServerIncarnation& life : range.previous_owners) {
+      previous_owners.push_back(life_array(life));
     }
     ranges.push_back(json::array{range.first.value, range.last.value,
                                  life_array(range.owner), range.epoch.value,
-                                 std::move(previous)});
+                                 std::move(previous_owners)});
   }
   return ranges;
 }
--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -32,7 +32,7 @@
                           ? "-"
                           : std::to_string(load_at(state, owner->second, now))},
        {"arriving",
-        range != nullptr && !range->previous.empty() ? "yes" : "no"},
+        range != nullptr && !range->previous_owners.empty() ? "yes" : "no"},
        {"map_revision", keyed ? text(map->second.revision.value) : "-"},
        {"usable_servers", text(candidates.size())},
        {"least_load", std::to_string(least_load)},
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -39,7 +39,7 @@
   auto map = state.maps.find(request.service);
   if (map == state.maps.end() || !map->second.map) return Unavailable::kNoOwner;
   const KeyRange* range = find_range(*map->second.map, *request.key);
-  if (range == nullptr || !range->previous.empty() ||
+  if (range == nullptr || !range->previous_owners.empty() ||
       !is_current(state, range->owner)) {
     return Unavailable::kNoOwner;
   }
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -112,7 +112,7 @@
                const KeyRange& range, Lease& lease, TimePoint now,
                Effects& effects) {
   bool all_free = true;
-  for (const ServerIncarnation& life : range.previous) {
+  for (const ServerIncarnation& life : range.previous_owners) {
     if (is_free(state, duty, range, lease, life, now)) continue;
     all_free = false;
     auto server = state.servers.find(life.name);
@@ -130,7 +130,7 @@
            const KeyRange& range, Lease& lease, TimePoint now,
            Effects& effects) {
   if (lease.fenced) return;
-  if (!lease.confirmed && !range.previous.empty()) {
+  if (!lease.confirmed && !range.previous_owners.empty()) {
     if (!free_keys(state, service, duty, range, lease, now, effects)) return;
     // Nothing is owed by a release that nobody needs any more.
     if (lease.releasing) lease.order = 0;
@@ -294,7 +294,7 @@
 }
 
 bool has_arrived(const MapState& map, const KeyRange& range) {
-  if (range.previous.empty() || !map.duty) return false;
+  if (range.previous_owners.empty() || !map.duty) return false;
   auto lease = map.duty->leases.find(range.first);
   return lease != map.duty->leases.end() && lease->second.confirmed &&
          lease->second.epoch == range.epoch;
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -86,7 +86,7 @@
   Epoch epoch;
   /// Not empty while the keys are on the way to `owner`: the lives that may
   /// still hold them.
-  std::vector<ServerIncarnation> previous;
+  std::vector<ServerIncarnation> previous_owners;
   bool operator==(const KeyRange&) const = default;
 };
 
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -57,7 +57,7 @@
       // Orders of an earlier term carry lower epochs, so that a server that has
       // answered one of this term refuses them also when they come late.
       record_hold(*map.duty, {range.first, range.last, range.owner, end});
-      for (const ServerIncarnation& life : range.previous) {
+      for (const ServerIncarnation& life : range.previous_owners) {
         record_hold(*map.duty, {range.first, range.last, life, end});
       }
     }
--- a/src/fleet/placement.cc
+++ b/src/fleet/placement.cc
@@ -272,11 +272,11 @@
     KeyRange moved = range;
     moved.first = std::max(range.first, move.first);
     moved.last = std::min(range.last, move.last);
-    if (std::find(moved.previous.begin(), moved.previous.end(), moved.owner) ==
-        moved.previous.end()) {
-      moved.previous.push_back(moved.owner);
+    if (std::find(moved.previous_owners.begin(), moved.previous_owners.end(),
+                  moved.owner) == moved.previous_owners.end()) {
+      moved.previous_owners.push_back(moved.owner);
     }
-    std::erase(moved.previous, move.to);
+    std::erase(moved.previous_owners, move.to);
     moved.owner = move.to;
     moved.epoch = epoch;
     result.push_back(moved);
@@ -294,7 +294,7 @@
   for (const KeyRange& range : ranges) {
     if (!result.empty() && result.back().owner == range.owner &&
         result.back().epoch == range.epoch &&
-        result.back().previous == range.previous) {
+        result.back().previous_owners == range.previous_owners) {
       result.back().last = range.last;
     } else {
       result.push_back(range);
@@ -327,7 +327,7 @@
       // Moves only cut ranges, so each lies inside one that was there before.
       std::size_t before = range_of(input, range.first);
       movable.push_back(before < input.ranges.size() && input.movable[before] &&
-                        range.previous.empty());
+                        range.previous_owners.empty());
     }
     working.movable = std::move(movable);
   }
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -137,7 +137,7 @@
   bool changed = false;
   for (KeyRange& range : next.ranges) {
     if (!has_arrived(map, range)) continue;
-    range.previous.clear();
+    range.previous_owners.clear();
     changed = true;
   }
   return changed;
@@ -211,16 +211,18 @@
   next.ranges = std::move(input.ranges);
   for (KeyRange& range : next.ranges) {
     // A higher epoch at the same server needs no release first.
-    std::erase_if(range.previous, [&range](const ServerIncarnation& life) {
-      return life.name == range.owner.name;
-    });
+    std::erase_if(range.previous_owners,
+                  [&range](const ServerIncarnation& life) {
+                    return life.name == range.owner.name;
+                  });
   }
   return changed;
 }
 
 bool movable(const State& state, const MapState& map, const KeyRange& range,
              TimePoint now) {
-  if (!range.previous.empty() || !is_current(state, range.owner)) return false;
+  if (!range.previous_owners.empty() || !is_current(state, range.owner))
+    return false;
   auto lease = map.duty->leases.find(range.first);
   if (lease == map.duty->leases.end() || !lease->second.confirmed) return false;
   auto moved = map.duty->moved.find(range.first);
--- a/tests/fleet_ownership_test.cc
+++ b/tests/fleet_ownership_test.cc
@@ -104,7 +104,7 @@
     for (std::uint32_t key = 100; key < 110; ++key) world.heat(0, key, 0.2);
     world.run_for(milliseconds(100));
     const KeyRange* range = find_range(*world.stored_map(), ShardKey(105));
-    if (!range->previous.empty()) ++unowned;
+    if (!range->previous_owners.empty()) ++unowned;
   }
   EXPECT_LE(unowned, 25);  // Two moves of a second each.
   EXPECT_TRUE(world.violations.empty());
--- a/tests/fleet_placement_test.cc
+++ b/tests/fleet_placement_test.cc
@@ -28,7 +28,7 @@
 
 void carry_out(PlacementInput& input, const std::vector<Move>& moves) {
   for (const Move& move : moves) assign(input.ranges, move, Epoch(2));
-  for (KeyRange& range : input.ranges) range.previous.clear();
+  for (KeyRange& range : input.ranges) range.previous_owners.clear();
   join_neighbours(input.ranges);
   input.movable.assign(input.ranges.size(), true);
 }
@@ -134,10 +134,11 @@
   ASSERT_EQ(input.ranges.size(), 4u);
   EXPECT_EQ(input.ranges[1].owner, life(1));
   EXPECT_EQ(input.ranges[1].epoch, Epoch(5));
-  EXPECT_EQ(input.ranges[1].previous, std::vector<ServerIncarnation>{life(0)});
+  EXPECT_EQ(input.ranges[1].previous_owners,
+            std::vector<ServerIncarnation>{life(0)});
   // On the way again before it arrived: both may hold.
   assign(input.ranges, {ShardKey(10), ShardKey(19), life(7)}, Epoch(6));
-  EXPECT_EQ(input.ranges[1].previous,
+  EXPECT_EQ(input.ranges[1].previous_owners,
             (std::vector<ServerIncarnation>{life(0), life(1)}));
 }
 
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -182,7 +182,7 @@
     if (!map_) return false;
     for (std::uint32_t key = 0; key <= kMaxShardKey; key += kProbeStep) {
       const KeyRange* range = find_range(*map_, ShardKey(key));
-      if (range == nullptr || !range->previous.empty()) return false;
+      if (range == nullptr || !range->previous_owners.empty()) return false;
       for (const FakeServer& server : servers_) {
         if (server.entry.name == range->owner.name && !holds(server, key)) {
           return false;
