--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -223,7 +223,8 @@
   json::array terms;
   for (const auto& term : heartbeat.terms) {
     terms.push_back(json::array{term.service.str(), term.term.value,
-                                to_ms(term.heard_before), term.revision.value});
+                                to_ms(term.coordinator_heartbeat_age),
+                                term.revision.value});
   }
   json::array loads;
   for (const auto& load : heartbeat.loads) {
--- a/src/fleet/election.cc
+++ b/src/fleet/election.cc
@@ -59,7 +59,8 @@
     if (!is_alive(state, name, now) || name == map.coordinator) continue;
     for (const auto& term : peer.heartbeat.terms) {
       if (term.service == service && term.term == map.term &&
-          term.heard_before + (now - peer.heard) < config::kDaemonSilence) {
+          term.coordinator_heartbeat_age + (now - peer.heard) <
+              config::kDaemonSilence) {
         return true;
       }
     }
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -142,9 +142,10 @@
   Duration store_silence{0};
   struct Term {
     ServiceName service;
-    TermEpoch term;            ///< The highest that it knows of.
-    Duration heard_before{0};  ///< Since it last heard that coordinator.
-    Version revision;          ///< Of its map.
+    TermEpoch term;  ///< The highest that it knows of.
+    Duration coordinator_heartbeat_age{
+        0};            ///< Since it last heard that coordinator.
+    Version revision;  ///< Of its map.
   };
   std::vector<Term> terms;
   struct Load {
