--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -63,14 +63,14 @@
       keys.push_back(key.key.value);
       keys.push_back(hundredths(key.weight));
     }
-    json::array speeds;
-    for (const auto& speed : heat.speeds) {
-      speeds.push_back(json::array{speed.server.str(),
-                                   hundredths(speed.answers),
-                                   to_ms(speed.service_time)});
+    json::array service_times;
+    for (const auto& speed : heat.service_times) {
+      service_times.push_back(json::array{speed.server.str(),
+                                          hundredths(speed.answers),
+                                          to_ms(speed.service_time)});
     }
-    key_load_reports.push_back(
-        json::array{heat.service.str(), std::move(keys), std::move(speeds)});
+    key_load_reports.push_back(json::array{heat.service.str(), std::move(keys),
+                                           std::move(service_times)});
   }
   return key_load_reports;
 }
@@ -86,9 +86,9 @@
   }
   for (const json::value& speed : parts.at(2).as_array()) {
     const json::array& fields = speed.as_array();
-    heat.speeds.push_back({ServerName(view_of(fields.at(0))),
-                           from_hundredths(fields.at(1)),
-                           milliseconds(number(fields.at(2)))});
+    heat.service_times.push_back({ServerName(view_of(fields.at(0))),
+                                  from_hundredths(fields.at(1)),
+                                  milliseconds(number(fields.at(2)))});
   }
   return heat;
 }
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -162,7 +162,7 @@
   struct KeyLoadReport {
     ServiceName service;
     std::vector<KeyLoad> keys;
-    std::vector<Speed> speeds;
+    std::vector<Speed> service_times;
   };
   std::vector<KeyLoadReport> key_load_reports;
   std::vector<Strike> strikes;  ///< Of the last seconds.
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -38,7 +38,7 @@
     if (now - peer.heat_heard > config::kHeatRetention) continue;
     for (const auto& heat : peer.heartbeat.key_load_reports) {
       if (heat.service != service) continue;
-      for (const auto& speed : heat.speeds) {
+      for (const auto& speed : heat.service_times) {
         add(speed.server, speed.answers, speed.service_time);
       }
     }
@@ -46,13 +46,13 @@
   for (const auto& [name, server] : state.servers) {
     if (server.answers > 0) add(name, server.answers, server.service_time);
   }
-  std::map<ServerName, Duration> speeds;
+  std::map<ServerName, Duration> service_times;
   for (const auto& [name, sum] : sums) {
     if (sum.answers < kLeastAnswers) continue;
-    speeds[name] =
+    service_times[name] =
         Duration(static_cast<Duration::rep>(sum.total / sum.answers));
   }
-  return speeds;
+  return service_times;
 }
 
 /// Servers that are listed but answer no orders; none if that holds for so many
@@ -81,14 +81,16 @@
   std::vector<PlacedServer> servers;
   auto found = state.by_service.find(service);
   if (found == state.by_service.end()) return servers;
-  std::map<ServerName, Duration> speeds = fleet_speeds(state, service, now);
+  std::map<ServerName, Duration> service_times =
+      fleet_speeds(state, service, now);
   std::set<ServerName> silent = silent_servers(state, service, now);
   for (const ServerName& name : found->second) {
     const ServerState& server = state.servers.at(name);
     if (!accepts_work(server) || silent.count(name) > 0) continue;
-    auto speed = speeds.find(name);
-    Duration each = speed == speeds.end() ? service_time(state, server, now)
-                                          : speed->second;
+    auto speed = service_times.find(name);
+    Duration each = speed == service_times.end()
+                        ? service_time(state, server, now)
+                        : speed->second;
     double seconds = static_cast<double>(each.count()) / 1e6;
     servers.push_back({life_of(server.server),
                        server.server.slots / std::max(seconds, 0.001)});
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -85,10 +85,11 @@
 using KeyWeights = std::map<ShardKey, double>;
 using Speeds = std::map<ServerName, Heartbeat::Speed>;
 
-void add_speed(Speeds& speeds, const Heartbeat::Speed& added) {
+void add_speed(Speeds& service_times, const Heartbeat::Speed& added) {
   if (added.answers <= 0) return;
   Heartbeat::Speed& speed =
-      speeds.try_emplace(added.server, Heartbeat::Speed{added.server, 0, {}})
+      service_times
+          .try_emplace(added.server, Heartbeat::Speed{added.server, 0, {}})
           .first->second;
   double answers = speed.answers + added.answers;
   double total =
@@ -99,7 +100,7 @@
 }
 
 void add_own_heat(const State& state, const ServiceName& service,
-                  KeyWeights& keys, Speeds& speeds) {
+                  KeyWeights& keys, Speeds& service_times) {
   auto found = state.heat.find(service);
   if (found != state.heat.end()) {
     for (const auto& [key, weight] : found->second.weights) {
@@ -111,14 +112,14 @@
   for (const ServerName& name : servers->second) {
     const ServerState& server = state.servers.at(name);
     if (server.answers >= 1) {
-      add_speed(speeds, {name, server.answers, server.service_time});
+      add_speed(service_times, {name, server.answers, server.service_time});
     }
   }
 }
 
 /// What the daemons of the own zone have reported to this one.
 void add_zone_heat(const State& state, const ServiceName& service,
-                   TimePoint now, KeyWeights& keys, Speeds& speeds) {
+                   TimePoint now, KeyWeights& keys, Speeds& service_times) {
   for (const auto& [name, peer] : state.fleet.heard) {
     auto known = state.fleet.known.find(name);
     if (known == state.fleet.known.end() ||
@@ -129,7 +130,8 @@
     for (const auto& heat : peer.heartbeat.key_load_reports) {
       if (heat.service != service) continue;
       for (const KeyLoad& key : heat.keys) keys[key.key] += key.weight;
-      for (const auto& speed : heat.speeds) add_speed(speeds, speed);
+      for (const auto& speed : heat.service_times)
+        add_speed(service_times, speed);
     }
   }
 }
@@ -138,9 +140,9 @@
                                      const ServiceName& service, bool for_zone,
                                      TimePoint now) {
   KeyWeights keys;
-  Speeds speeds;
-  add_own_heat(state, service, keys, speeds);
-  if (for_zone) add_zone_heat(state, service, now, keys, speeds);
+  Speeds service_times;
+  add_own_heat(state, service, keys, service_times);
+  if (for_zone) add_zone_heat(state, service, now, keys, service_times);
   Heartbeat::KeyLoadReport heat{service, {}, {}};
   for (const auto& [key, weight] : keys) heat.keys.push_back({key, weight});
   std::size_t kept = std::min(
@@ -151,7 +153,8 @@
         return left.weight > right.weight;
       });
   heat.keys.resize(kept);
-  for (const auto& [name, speed] : speeds) heat.speeds.push_back(speed);
+  for (const auto& [name, speed] : service_times)
+    heat.service_times.push_back(speed);
   return heat;
 }
 
