--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -159,7 +159,7 @@
     case AttemptResult::kNotSent:
       on_not_sent(state, request, ended, now, effects);
       break;
-    case AttemptResult::kLost:
+    case AttemptResult::kAnswerLost:
     case AttemptResult::kSilent:
       on_lost(state, request, ended, now, effects);
       break;
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -96,12 +96,12 @@
   kNotRun,      ///< The server states that it did not run the request.
   kWrongOwner,  ///< Not run: another server, or the key is not held.
   kNotSent,     ///< No connection; not a byte was sent.
-  kLost,        ///< Sent; the connection ended or the answer is unusable.
+  kAnswerLost,  ///< Sent; the connection ended or the answer is unusable.
   kSilent,      ///< Sent; no answer in time.
 };
 struct AttemptEnded {
   AttemptId id;
-  AttemptResult result = AttemptResult::kLost;
+  AttemptResult result = AttemptResult::kAnswerLost;
   int status = 0;
   bool no_listener = false;  ///< With kNotSent: the connection was refused.
   std::shared_ptr<const ServerAnswer> answer;
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -244,7 +244,7 @@
         break;
       case HttpFailureKind::kClosed:
       case HttpFailureKind::kTruncated:
-        ended.result = AttemptResult::kLost;
+        ended.result = AttemptResult::kAnswerLost;
         break;
     }
   }
--- a/tests/fleet_requests_test.cc
+++ b/tests/fleet_requests_test.cc
@@ -138,7 +138,7 @@
   add("s1", kBooking);
   add("s2", kBooking);
   request(1, "/once/x");
-  end(AttemptResult::kLost);
+  end(AttemptResult::kAnswerLost);
   EXPECT_EQ(sends_.size(), 1u);
   ASSERT_EQ(answers_.size(), 1u);
   EXPECT_EQ(answers_[0].status, 502);
@@ -172,7 +172,7 @@
   add("s1", kDesk);
   add("s2", kDesk);
   request(1, "/safe/x");
-  end(AttemptResult::kLost);
+  end(AttemptResult::kAnswerLost);
   ASSERT_EQ(sends_.size(), 2u);
   end(AttemptResult::kNotRun, 503);
   ASSERT_EQ(answers_.size(), 1u);
@@ -332,9 +332,10 @@
   for (const char* name : {"s1", "s2", "s3"}) add(name, kDesk);
   constexpr std::uint64_t kPoison = 77;
   request(1, "/safe/x", seconds(2), kPoison);
-  end(AttemptResult::kLost);  // Sent on to a second server, which dies as well.
+  end(AttemptResult::kAnswerLost);  // Sent on to a second server, which dies as
+                                    // well.
   ASSERT_EQ(sends_.size(), 2u);
-  end(AttemptResult::kLost);
+  end(AttemptResult::kAnswerLost);
   for (std::size_t i = 0; i < 2; ++i) {
     ServerSeen again{state_.servers.at(sends_[i].server).server};
     again.server.incarnation = Incarnation(2);
@@ -370,7 +371,7 @@
   for (const char* name : {"s1", "s2", "s3"}) add(name, kDesk);
   for (std::uint64_t id = 1; id <= 4; ++id) {
     request(id, "/safe/x", seconds(2), 9);
-    end(AttemptResult::kLost);
+    end(AttemptResult::kAnswerLost);
     end(AttemptResult::kAnswered, 200);
   }
   EXPECT_EQ(sends_.size(), 8u);
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -199,10 +199,10 @@
   EXPECT_EQ(result(421, {}), AttemptResult::kWrongOwner);
   EXPECT_EQ(result(503, {{kResponseStampHeader, "s"}}),
             AttemptResult::kAnswered);
-  EXPECT_EQ(result(200, {}), AttemptResult::kLost);
+  EXPECT_EQ(result(200, {}), AttemptResult::kAnswerLost);
   EXPECT_EQ(
       result(200, {{kResponseStampHeader, "s"}, {"Content-Encoding", "gzip"}}),
-      AttemptResult::kLost);
+      AttemptResult::kAnswerLost);
 }
 
 TEST(PlatformRequests, AnswersOfOthersDoNotBelong) {
