--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -96,7 +96,7 @@
     suspect(state, request.fingerprint, life_of(server->second.server), now);
   }
   request.may_have_run = true;
-  bool silent = ended.result == AttemptResult::kSilent;
+  bool silent = ended.result == AttemptResult::kTimedOut;
   std::string_view reason = silent ? "no_answer" : "connection_lost";
   if (request.route->repeatable) {
     return try_again(state, request, reason, now, effects);
@@ -160,7 +160,7 @@
       on_not_sent(state, request, ended, now, effects);
       break;
     case AttemptResult::kAnswerLost:
-    case AttemptResult::kSilent:
+    case AttemptResult::kTimedOut:
       on_lost(state, request, ended, now, effects);
       break;
   }
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -16,7 +16,7 @@
   ServerName server;
   Endpoint address;
   Duration time_left{0};  ///< Told to the server.
-  Duration patience{0};   ///< After it the attempt ends as kSilent.
+  Duration patience{0};   ///< After it the attempt ends as kTimedOut.
   bool repeatable = false;
 };
 /// Closes the attempt's connection; no AttemptEnded follows.
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -97,7 +97,7 @@
   kWrongOwner,  ///< Not run: another server, or the key is not held.
   kNotSent,     ///< No connection; not a byte was sent.
   kAnswerLost,  ///< Sent; the connection ended or the answer is unusable.
-  kSilent,      ///< Sent; no answer in time.
+  kTimedOut,    ///< Sent; no answer in time.
 };
 struct AttemptEnded {
   AttemptId id;
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -240,7 +240,7 @@
         ended.result = AttemptResult::kNotSent;
         break;
       case HttpFailureKind::kTimeout:
-        ended.result = AttemptResult::kSilent;
+        ended.result = AttemptResult::kTimedOut;
         break;
       case HttpFailureKind::kClosed:
       case HttpFailureKind::kTruncated:
