--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -103,7 +103,7 @@
 /// How long an answer is waited for before the request is sent once more.
 /// Answers to load whose work varies widely: a run that is cancelled is lost,
 /// so it is given time while a second one could still end before the deadline.
-Duration patience(const RequestState& request) {
+Duration response_timeout(const RequestState& request) {
   if (request.key) return scaled(request.expected, config::kOwnerPatience);
   Duration second_try = scaled(request.expected, config::kSecondTry);
   Duration latest = request.deadline - request.sent - second_try;
@@ -163,7 +163,7 @@
                   Effects& effects) {
   bool due = request.route->repeatable &&
              request.sends < request.route->attempts &&
-             now - request.sent > patience(request) &&
+             now - request.sent > response_timeout(request) &&
              time_left(request, now) > request.expected;
   if (!due) return;
   auto target = request.key ? owner_of(state, request, now)
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -15,8 +15,8 @@
   RequestId request;
   ServerName server;
   Endpoint address;
-  Duration time_left{0};  ///< Told to the server.
-  Duration patience{0};   ///< After it the attempt ends as kTimedOut.
+  Duration time_left{0};         ///< Told to the server.
+  Duration response_timeout{0};  ///< After it the attempt ends as kTimedOut.
   bool repeatable = false;
 };
 /// Closes the attempt's connection; no AttemptEnded follows.
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -212,7 +212,7 @@
   std::string label = open->second.label;
   BackendPool::Call call{
       format_.to_server(open->second.exchange->request(), attempt),
-      attempt.address, attempt.patience, attempt.repeatable,
+      attempt.address, attempt.response_timeout, attempt.repeatable,
       [this, label](const HttpResponse& answer) {
         return format_.belongs(label, answer);
       }};
