--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -95,7 +95,7 @@
 
 bool hears_store(const core::State& state, Now now) {
   const StoreSync& sync = state.membership.sync;
-  return sync.heard && now.mono - *sync.heard <= config::kStoreSilence;
+  return sync.heard && now.mono - *sync.heard <= config::kStoreUnreachableAfter;
 }
 
 bool may_renew_grants(const core::State& state, Now now) {
