--- a/src/fleet/learning.cc
+++ b/src/fleet/learning.cc
@@ -42,7 +42,7 @@
   if (stats != state.stats.end() && stats->second.service_time.count() > 0) {
     expected = stats->second.service_time;
   }
-  bool cold = now - server.seen < server.server.cold_left;
+  bool cold = now - server.seen < server.server.warm_up_left;
   if (server.service_time.count() > 0) return server.service_time;
   return cold ? scaled(expected, kColdFactor) : expected;
 }
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -68,7 +68,7 @@
   std::uint32_t slots = 1;
   Incarnation incarnation;  ///< Differs between two starts under one name.
   bool draining = false;
-  Duration cold_left{0};  ///< Slow for this much longer, when last written.
+  Duration warm_up_left{0};  ///< Slow for this much longer, when last written.
 };
 
 /// One life of a backend server.
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -64,7 +64,7 @@
   EXPECT_EQ(server.address, Endpoint("10.1.0.1:9"));
   EXPECT_EQ(server.incarnation, Incarnation(1'768'982'855'592));
   EXPECT_TRUE(server.draining);
-  EXPECT_EQ(server.cold_left, milliseconds(1500));
+  EXPECT_EQ(server.warm_up_left, milliseconds(1500));
   EXPECT_EQ(std::get<ServerName>(read.servers[1]), ServerName("s2"));
 }
 
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -115,7 +115,7 @@
   auto result = read_server("i-1", kServer);
   ASSERT_TRUE(ok(result)) << error(result).message;
   EXPECT_EQ(value(result).incarnation, Incarnation(1768982855592));
-  EXPECT_EQ(value(result).cold_left, milliseconds(1500));
+  EXPECT_EQ(value(result).warm_up_left, milliseconds(1500));
   EXPECT_FALSE(value(result).draining);
 }
 
