--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -40,7 +40,7 @@
 inline constexpr Duration kDaemonLostAfter = milliseconds(1500);
 /// A front that hears neither the store nor any other daemon of its roster
 /// stops renewing after this.
-inline constexpr Duration kLoneFrontAfter = milliseconds(3000);
+inline constexpr Duration kIsolatedFrontTimeout = milliseconds(3000);
 /// From the last promise not to answer a lost front until its grants count as
 /// lapsed: the lone-front wait, the term and an allowance for clock rates.
 inline constexpr Duration kLoneFrontProof = milliseconds(5200);
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -35,8 +35,8 @@
   const RosterMember* own = find_member(known.members, state.self.name);
   bool bound = own != nullptr && own->incarnation == state.self.incarnation &&
                known.members.size() > 1;
-  return bound &&
-         now.mono - latest_evidence(state, known) > config::kLoneFrontAfter;
+  return bound && now.mono - latest_evidence(state, known) >
+                      config::kIsolatedFrontTimeout;
 }
 
 }  // namespace
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -51,7 +51,7 @@
 /// Whether the store has answered lately.
 bool hears_store(const core::State& state, Now now);
 /// False once this front hears neither the store nor any other daemon of its
-/// roster for config::kLoneFrontAfter.
+/// roster for config::kIsolatedFrontTimeout.
 bool may_renew_grants(const core::State& state, Now now);
 /// Marks a server's status on its zone's roster. Only for the zone's
 /// coordinator; repeats are harmless.
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -290,7 +290,8 @@
 }
 
 void note_silence(core::State& state, Now now) {
-  bool paused = now.mono - state.ownership.last_step > config::kLoneFrontAfter;
+  bool paused =
+      now.mono - state.ownership.last_step > config::kIsolatedFrontTimeout;
   bool lone = !membership::may_renew_grants(state, now);
   state.ownership.last_step = now.mono;
   if (membership::hears_store(state, now))
