--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -10,7 +10,7 @@
 namespace eelgrasspin::fleet::config {
 
 /// Time between two ticks of the reducer.
-inline constexpr Duration kTick = milliseconds(20);
+inline constexpr Duration kTickInterval = milliseconds(20);
 
 // Heartbeats between daemons.
 /// Between two heartbeats to daemons of the own zone, if load changed.
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -359,7 +359,7 @@
 }
 
 void FleetShell::tick() {
-  timer_.expires_after(fleet::config::kTick);
+  timer_.expires_after(fleet::config::kTickInterval);
   timer_.async_wait([this](error_code failed) {
     if (!failed) tick();
   });
@@ -386,7 +386,7 @@
   Duration gap = now - last_tick_;
   last_tick_ = now;
   Duration suspended = boot_now() - steady_now();
-  bool was_suspended = suspended - clock_gap_ > fleet::config::kTick;
+  bool was_suspended = suspended - clock_gap_ > fleet::config::kTickInterval;
   clock_gap_ = suspended;
   constexpr Duration kPause = milliseconds(250);
   if (gap > kPause || was_suspended) apply(fleet::Resumed{gap});
--- a/tests/fleet_requests_test.cc
+++ b/tests/fleet_requests_test.cc
@@ -91,7 +91,7 @@
   void pass(Duration duration) {
     TimePoint until = now_ + duration;
     while (now_ < until) {
-      now_ += config::kTick;
+      now_ += config::kTickInterval;
       apply(Tick());
     }
   }
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -226,7 +226,7 @@
   }
 
   void step() {
-    now_ += config::kTick;
+    now_ += config::kTickInterval;
     while (!later_.empty() && later_.begin()->at <= now_) {
       auto act = later_.begin()->act;
       later_.erase(later_.begin());
--- a/tests/store_view_test.cc
+++ b/tests/store_view_test.cc
@@ -37,7 +37,7 @@
   Effects tick_for(Duration duration) {
     Effects all;
     for (TimePoint end = now_ + duration; now_ < end;) {
-      now_ += config::kTick;
+      now_ += config::kTickInterval;
       Effects effects = reduce(state_, Tick(), now_);
       all.insert(all.end(), effects.begin(), effects.end());
     }
@@ -75,7 +75,7 @@
 
 TEST_F(StoreViewTest, FollowsARelayWhoseCopyIsFresh) {
   hear(heartbeat(Version(10), milliseconds(300)));
-  Effects effects = tick_for(config::kTick);
+  Effects effects = tick_for(config::kTickInterval);
   EXPECT_FALSE(state_.watching);
   EXPECT_EQ(count<WatchStore>(effects), 1u);
 }
@@ -96,7 +96,7 @@
   Heartbeat beat = heartbeat(Version(10), Duration(0));
   beat.store_silence = milliseconds(50);
   hear(beat);
-  tick_for(config::kTick);
+  tick_for(config::kTickInterval);
   EXPECT_TRUE(state_.watching);
 }
 
@@ -104,10 +104,10 @@
   now_ += milliseconds(10);
   reduce(state_, StoreFailed{"silent"}, now_);
   hear(heartbeat(Version(10), Duration(0)));
-  tick_for(config::kTick);
+  tick_for(config::kTickInterval);
   EXPECT_TRUE(state_.watching);
   reduce(state_, StoreAnswered(), now_);
-  tick_for(config::kTick);
+  tick_for(config::kTickInterval);
   EXPECT_FALSE(state_.watching);
 }
 
@@ -120,11 +120,11 @@
 
 TEST_F(StoreViewTest, UpdatesBehindALostOneAreFetchedFromTheStore) {
   hear(heartbeat(Version(10), Duration(0)));
-  tick_for(config::kTick);
+  tick_for(config::kTickInterval);
   reduce(state_, StoreUpdateReceived{update(Version(12), Version(15))}, now_);
   EXPECT_EQ(state_.servers.count(ServerName("s")), 0u);
   hear(heartbeat(Version(15), Duration(0)));
-  Effects effects = tick_for(config::kViewBehind + config::kTick * 2);
+  Effects effects = tick_for(config::kViewBehind + config::kTickInterval * 2);
   EXPECT_EQ(count<CatchUp>(effects), 1u);
   reduce(state_, StoreChanged{update(Version(), Version(16))}, now_);
   EXPECT_EQ(count<CatchUp>(tick_for(milliseconds(400))), 0u);
@@ -138,7 +138,8 @@
   removal.since_outage = milliseconds(700);
   reduce(state_, StoreUpdateReceived{removal}, now_);
   EXPECT_FALSE(state_.servers.at(ServerName("s")).removed);
-  tick_for(config::kRegistryReturn - milliseconds(700) + config::kTick * 2);
+  tick_for(config::kRegistryReturn - milliseconds(700) +
+           config::kTickInterval * 2);
   EXPECT_TRUE(state_.servers.at(ServerName("s")).removed);
 }
 
@@ -153,7 +154,7 @@
   TimePoint back = now_;
   tick_for(milliseconds(1200));
   reduce(state_, ServersListed{{}, Version(40)}, now_);
-  tick_for(config::kRegistryReturn + config::kTick * 2 - (now_ - back));
+  tick_for(config::kRegistryReturn + config::kTickInterval * 2 - (now_ - back));
   EXPECT_TRUE(state_.servers.at(ServerName("s")).removed);
 }
 
@@ -171,9 +172,9 @@
 /// last call: older history may be gone.
 TEST_F(StoreViewTest, WatchingGoesOnFromTheCopy) {
   hear(heartbeat(Version(10), Duration(0)));
-  tick_for(config::kTick);
+  tick_for(config::kTickInterval);
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
-  Effects effects = tick_for(config::kViewAge + config::kTick * 2);
+  Effects effects = tick_for(config::kViewAge + config::kTickInterval * 2);
   ASSERT_EQ(count<WatchStore>(effects), 1u);
   for (const Effect& effect : effects) {
     if (const auto* watch = std::get_if<WatchStore>(&effect)) {
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -52,7 +52,7 @@
   world.kill(lost);
   std::size_t observer = 0;
   for (int step = 0; step < 150; ++step) {
-    world.run_for(config::kTick);
+    world.run_for(config::kTickInterval);
     EXPECT_TRUE(all_alive_to(world, observer)) << step;
   }
   auto next = zone_relay(world.state(0), FleetWorld::zone(1), world.now());
