--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -43,7 +43,7 @@
 inline constexpr Duration kIsolatedFrontTimeout = milliseconds(3000);
 /// From the last promise not to answer a lost front until its grants count as
 /// lapsed: the lone-front wait, the term and an allowance for clock rates.
-inline constexpr Duration kLoneFrontProof = milliseconds(5200);
+inline constexpr Duration kIsolatedFrontLapseDelay = milliseconds(5200);
 /// Roster members that a daemon exchanges hellos with, half on each side of it
 /// in the order of names.
 inline constexpr std::uint32_t kHelloNeighbours = 4;
--- a/src/core/membership/losses.cc
+++ b/src/core/membership/losses.cc
@@ -100,7 +100,7 @@
   bool another_lost = known->lost.size() > 1;
   if (!bound || another_lost) return false;
   std::optional<TimePoint> last = last_promise(state, *known, loss->second);
-  return last && now.mono - *last >= config::kLoneFrontProof;
+  return last && now.mono - *last >= config::kIsolatedFrontLapseDelay;
 }
 
 }  // namespace eelgrasspin::core::membership
