--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -109,7 +109,7 @@
   }
   heartbeat.stopping = object.if_contains("stopping") != nullptr;
   if (const json::value* silent = object.if_contains("store_silent_ms")) {
-    heartbeat.store_silence = milliseconds(number(*silent));
+    heartbeat.store_unreachable_for = milliseconds(number(*silent));
   }
   for (const json::value& value : object.at("terms").as_array()) {
     const json::array& parts = value.as_array();
@@ -241,8 +241,8 @@
   }
   // Fields at their usual value are left out: heartbeats are many.
   if (heartbeat.stopping) object["stopping"] = true;
-  if (heartbeat.store_silence.count() > 0) {
-    object["store_silent_ms"] = to_ms(heartbeat.store_silence);
+  if (heartbeat.store_unreachable_for.count() > 0) {
+    object["store_silent_ms"] = to_ms(heartbeat.store_unreachable_for);
   }
   if (!heartbeat.key_load_reports.empty())
     object["heats"] = heats_array(heartbeat);
--- a/src/fleet/election.cc
+++ b/src/fleet/election.cc
@@ -31,7 +31,7 @@
   auto own = rank(state, service, state.settings.self.name);
   for (const auto& [name, peer] : state.fleet.heard) {
     if (!is_alive(state, name, now) || peer.heartbeat.stopping ||
-        !has_store(peer.heartbeat.store_silence)) {
+        !has_store(peer.heartbeat.store_unreachable_for)) {
       continue;
     }
     if (rank(state, service, name) < own) return false;
@@ -49,7 +49,7 @@
   }
   const Heartbeat& last = heard->second.heartbeat;
   return last.daemon.incarnation == map.coordinator_incarnation &&
-         !last.stopping && has_store(last.store_silence);
+         !last.stopping && has_store(last.store_unreachable_for);
 }
 
 /// Another daemon still hears the coordinator that this one does not hear.
@@ -85,7 +85,7 @@
 bool should_take_over(const State& state, const ServiceName& service,
                       const MapState& map, TimePoint now) {
   if (state.stopping || map.writing || !state.store_heard ||
-      !has_store(store_silence(state, now)) ||
+      !has_store(store_unreachable_for(state, now)) ||
       now - state.started < config::kElectionDelay) {
     return false;
   }
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -139,7 +139,7 @@
   std::uint64_t sequence = 0;
   bool stopping = false;
   /// For how long the store has failed to answer; 0 while it answers.
-  Duration store_silence{0};
+  Duration store_unreachable_for{0};
   struct Term {
     ServiceName service;
     TermEpoch term;  ///< The highest that it knows of.
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -153,7 +153,7 @@
   heartbeat.full = heartbeat.sequence % config::kFullHeartbeats == 1 ||
                    now - state.started < config::kFullAfterStart;
   heartbeat.stopping = state.stopping;
-  heartbeat.store_silence = store_silence(state, now);
+  heartbeat.store_unreachable_for = store_unreachable_for(state, now);
   heartbeat.terms = own_terms(state, now);
   heartbeat.loads = own_loads(state, far);
   heartbeat.strikes = recent_strikes(state, now);
@@ -224,7 +224,7 @@
   return direct ? limit : limit + config::kRelayedSilence;
 }
 
-Duration store_silence(const State& state, TimePoint now) {
+Duration store_unreachable_for(const State& state, TimePoint now) {
   if (state.store_heard && state.store_answered >= state.store_failed) {
     return Duration(0);
   }
--- a/src/fleet/peers.h
+++ b/src/fleet/peers.h
@@ -26,7 +26,7 @@
 /// Silence after which the daemon is not counted as alive.
 Duration silence_limit(const State& state, const DaemonName& daemon);
 /// For how long the store has failed to answer; 0 while it answers.
-Duration store_silence(const State& state, TimePoint now);
+Duration store_unreachable_for(const State& state, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
 
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -26,7 +26,8 @@
   if (!relay || *relay == self.name) return nullptr;
   const PeerState& peer = state.fleet.heard.at(*relay);
   const Heartbeat& heartbeat = peer.heartbeat;
-  if (!heartbeat.view || heartbeat.store_silence.count() > 0) return nullptr;
+  if (!heartbeat.view || heartbeat.store_unreachable_for.count() > 0)
+    return nullptr;
   Duration age = heartbeat.view->age + (now - peer.heard);
   return age <= config::kViewAge ? &peer : nullptr;
 }
@@ -112,7 +113,7 @@
 
 bool should_watch(const State& state, TimePoint now) {
   // A daemon whose own calls fail has to notice when the store is back.
-  return store_silence(state, now).count() > 0 || any_unknown(state) ||
+  return store_unreachable_for(state, now).count() > 0 || any_unknown(state) ||
          coordinates_any(state) || followed(state, now) == nullptr;
 }
 
--- a/tests/store_view_test.cc
+++ b/tests/store_view_test.cc
@@ -94,7 +94,7 @@
 
 TEST_F(StoreViewTest, WatchesWhileTheRelayCannotReachTheStore) {
   Heartbeat beat = heartbeat(Version(10), Duration(0));
-  beat.store_silence = milliseconds(50);
+  beat.store_unreachable_for = milliseconds(50);
   hear(beat);
   tick_for(config::kTickInterval);
   EXPECT_TRUE(state_.watching);
