--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -26,7 +26,7 @@
 inline constexpr Duration kLeaseReadInterval = milliseconds(500);
 /// Extra wait before a daemon of another zone of the region stands for an empty
 /// zone's coordinator.
-inline constexpr Duration kForeignCandidateDelay = milliseconds(3000);
+inline constexpr Duration kOtherZoneCandidateDelay = milliseconds(3000);
 /// Wait between the claims of two candidates of a zone, by their rank.
 inline constexpr Duration kClaimStagger = milliseconds(50);
 /// Candidates of a zone that read its lease at the full rate; later ranks read
--- a/src/core/membership/zone_lease.cc
+++ b/src/core/membership/zone_lease.cc
@@ -202,8 +202,9 @@
 void step_foreign_candidate(core::State& state, const ZoneName& zone,
                             ZoneLease& lease, Now now, Effects& effects) {
   if (!coordinates(state, state.self.zone, now)) return;
-  Duration delay = zone_is_fenced(state, zone) ? Duration(0)
-                                               : config::kForeignCandidateDelay;
+  Duration delay = zone_is_fenced(state, zone)
+                       ? Duration(0)
+                       : config::kOtherZoneCandidateDelay;
   if (may_claim(state, zone, lease, delay, now))
     claim(state, zone, lease, now, effects);
 }
