--- a/src/fleet/settings.h
+++ b/src/fleet/settings.h
@@ -17,7 +17,7 @@
   /// Daemons to announce itself to before the store has answered.
   std::vector<Endpoint> seeds;
   /// From the order to stop until the process is killed.
-  Duration stop_limit = seconds(6);
+  Duration stop_timeout = seconds(6);
   /// Longest hold that a server grants.
   Duration hold_max = seconds(10);
   /// Delivery of a grant may be late by this much after a pause.
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -409,14 +409,14 @@
 void FleetShell::finish_stop() {
   Duration stopping = boot_now() - state_.stop_ordered;
   Duration linger = std::min(fleet::config::kStopLinger,
-                             state_.settings.stop_limit - kStopMargin);
+                             state_.settings.stop_timeout - kStopMargin);
   if (stopping >= linger && !closing_) {
     closing_ = true;
     callers_.stop_accepting();
   }
   if (closing_) callers_.close_idle();
   bool done = closing_ && callers_.connections() == 0;
-  if (!done && stopping < state_.settings.stop_limit - kStopMargin) return;
+  if (!done && stopping < state_.settings.stop_timeout - kStopMargin) return;
   log_line(LogLevel::kInfo, {{"event", "stop"},
                              {"open", std::to_string(open_.size())},
                              {"after", std::to_string(to_ms(stopping))}});
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -38,7 +38,7 @@
   EXPECT_EQ(settings.fleet.self.name, DaemonName("front-a-1"));
   EXPECT_EQ(settings.fleet.self.peer, Endpoint("10.1.0.34:7540"));
   EXPECT_EQ(settings.fleet.seeds[1], Endpoint("10.2.0.34:7540"));
-  EXPECT_EQ(settings.fleet.stop_limit, milliseconds(6500));
+  EXPECT_EQ(settings.fleet.stop_timeout, milliseconds(6500));
   EXPECT_EQ(settings.fleet.retry_slack, 64u);
   EXPECT_EQ(settings.unknown, std::vector<std::string>{"some.new.field"});
 }
