--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -48,7 +48,7 @@
 /// in the order of names.
 inline constexpr std::uint32_t kHelloNeighbours = 4;
 /// Longest time between two looks of a coordinator at its roster.
-inline constexpr Duration kRosterInterval = milliseconds(100);
+inline constexpr Duration kRosterCheckInterval = milliseconds(100);
 /// Silence after which a daemon forgets another one.
 inline constexpr Duration kPeerRetention = minutes(2);
 /// Rounds of heartbeats whose sending times are kept.
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -298,7 +298,7 @@
   if (!changed && now.mono < own.next_roster) return;
   own.roster_due = false;
   own.roster_generation = state.cache.generation;
-  own.next_roster = now.mono + config::kRosterInterval;
+  own.next_roster = now.mono + config::kRosterCheckInterval;
   for (const ZoneName& zone : coordinated_zones(state, now))
     step_roster(state, zone, now, effects);
 }
