--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -52,7 +52,7 @@
 /// Silence after which a daemon forgets another one.
 inline constexpr Duration kPeerRetention = minutes(2);
 /// Rounds of heartbeats whose sending times are kept.
-inline constexpr std::size_t kHeartbeatRounds = 16;
+inline constexpr std::size_t kMaxHeartbeatRounds = 16;
 
 // Grants.
 inline constexpr Duration kGrantTerm = milliseconds(2000);
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -81,7 +81,7 @@
   own.next_heartbeat = now.mono + config::kHeartbeatInterval;
   ++own.round;
   own.rounds.push_back({own.round, now.mono});
-  if (own.rounds.size() > config::kHeartbeatRounds) own.rounds.pop_front();
+  if (own.rounds.size() > config::kMaxHeartbeatRounds) own.rounds.pop_front();
 }
 
 void send_heartbeats(core::State& state, Now now, Effects& effects) {
