--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -68,7 +68,7 @@
 /// Silence of the store after which it counts as not heard.
 inline constexpr Duration kStoreUnreachableAfter = milliseconds(2500);
 /// Least time between two watches of a coordinator, unless it wrote itself.
-inline constexpr Duration kWatchPause = milliseconds(250);
+inline constexpr Duration kMinWatchInterval = milliseconds(250);
 /// Time between two full lists of a daemon that no coordinator relays to.
 inline constexpr Duration kUnrelayedListInterval = seconds(3);
 inline constexpr std::size_t kRelayEntries = 64;
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -142,7 +142,8 @@
   }
   apply_read(state, *read, now, effects);
   relay_changes(state, *read, now, effects);
-  sync.next_watch = std::max(sync.watch_sent + config::kWatchPause, now.mono);
+  sync.next_watch =
+      std::max(sync.watch_sent + config::kMinWatchInterval, now.mono);
 }
 
 /// A value that this daemon wrote is fetched by the watch at once, to be
