--- a/src/core/membership/losses.cc
+++ b/src/core/membership/losses.cc
@@ -1,9 +1,8 @@
-#include "core/membership/losses.h"
-
 #include <algorithm>
 
 #include "core/membership/fences.h"
 #include "core/membership/liveness.h"
+#include "core/membership/lost_members.h"
 #include "core/membership/vm_watch.h"
 #include "core/membership/zone_lease.h"
 
--- a/src/core/membership/losses.h
+++ b/src/core/membership/lost_members.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CORE_MEMBERSHIP_LOSSES_H_
-#define EELGRASSPIN_CORE_MEMBERSHIP_LOSSES_H_
+#ifndef EELGRASSPIN_CORE_MEMBERSHIP_LOST_MEMBERS_H_
+#define EELGRASSPIN_CORE_MEMBERSHIP_LOST_MEMBERS_H_
 
 #include "core/state.h"
 
@@ -27,4 +27,4 @@
 
 }  // namespace eelgrasspin::core::membership
 
-#endif  // EELGRASSPIN_CORE_MEMBERSHIP_LOSSES_H_
+#endif  // EELGRASSPIN_CORE_MEMBERSHIP_LOST_MEMBERS_H_
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -6,7 +6,7 @@
 #include "core/membership/fences.h"
 #include "core/membership/front_assignment.h"
 #include "core/membership/liveness.h"
-#include "core/membership/losses.h"
+#include "core/membership/lost_members.h"
 #include "core/membership/reports.h"
 #include "core/membership/roster_events.h"
 #include "core/membership/vm_watch.h"
