--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -71,7 +71,7 @@
 inline constexpr Duration kMinWatchInterval = milliseconds(250);
 /// Time between two full lists of a daemon that no coordinator relays to.
 inline constexpr Duration kUnrelayedListInterval = seconds(3);
-inline constexpr std::size_t kRelayEntries = 64;
+inline constexpr std::size_t kMaxRelayEntries = 64;
 inline constexpr std::size_t kStoreValueMaxBytes = 1'000'000;
 inline constexpr Duration kVmListInterval = seconds(5);
 
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -281,7 +281,7 @@
   StoreRelay relay{.zone = state.self.zone, .since = since};
   for (StoreEntry& entry : missing) {
     relay.entries.push_back(std::move(entry));
-    if (relay.entries.size() < config::kRelayEntries) continue;
+    if (relay.entries.size() < config::kMaxRelayEntries) continue;
     Version last = relay.entries.back().version;
     relay.revision = std::min(last, state.membership.revision);
     Version next_since = relay.revision;
