--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -114,7 +114,7 @@
 /// Share of requests that may be sent again, in percent.
 inline constexpr std::uint32_t kRetryBudgetPercent = 10;
 inline constexpr std::uint32_t kMaxAttempts = 4;
-inline constexpr Duration kRetryPause = milliseconds(50);
+inline constexpr Duration kRetryDelay = milliseconds(50);
 /// Retries that a service's budget holds at the start and at most.
 inline constexpr std::uint32_t kRetryBudgetStart = 10;
 inline constexpr std::uint32_t kRetryBudgetMax = 100;
--- a/src/core/request/entry.cc
+++ b/src/core/request/entry.cc
@@ -84,7 +84,7 @@
                Effects& effects) {
   if (request.last_refusal == Reason::kNone)
     request.last_refusal = Reason::kNoOwner;
-  request.try_after = now.mono + config::kRetryPause;
+  request.try_after = now.mono + config::kRetryDelay;
   if (state.request.held <= config::kMaxHeldRequests) return;
   end_refused(
       state, request,
@@ -173,7 +173,7 @@
                 const AttemptNotRun& result, Now now, Effects& effects) {
   if (request.from_caller && may_go_again(result.reason)) {
     request.last_refusal = result.reason;
-    hold(state, request, now.mono + config::kRetryPause);
+    hold(state, request, now.mono + config::kRetryDelay);
     return;
   }
   end_refused(state, request,
--- a/src/core/request/front_queue.cc
+++ b/src/core/request/front_queue.cc
@@ -292,7 +292,7 @@
     if (pauses_queue(not_run->reason)) {
       request.last_refusal = not_run->reason;
       state.request.queues[server].paused_until =
-          now.mono + config::kRetryPause;
+          now.mono + config::kRetryDelay;
       requeue(state, request);
     } else {
       end_refused(
