--- a/src/core/membership/zone_lease.h
+++ b/src/core/membership/coordinator_lease.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CORE_MEMBERSHIP_ZONE_LEASE_H_
-#define EELGRASSPIN_CORE_MEMBERSHIP_ZONE_LEASE_H_
+#ifndef EELGRASSPIN_CORE_MEMBERSHIP_COORDINATOR_LEASE_H_
+#define EELGRASSPIN_CORE_MEMBERSHIP_COORDINATOR_LEASE_H_
 
 #include "core/effect.h"
 #include "core/event.h"
@@ -32,4 +32,4 @@
 
 }  // namespace eelgrasspin::core::membership
 
-#endif  // EELGRASSPIN_CORE_MEMBERSHIP_ZONE_LEASE_H_
+#endif  // EELGRASSPIN_CORE_MEMBERSHIP_COORDINATOR_LEASE_H_
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/peer_send.h"
 #include "core/membership/reports.h"
 #include "core/membership/store_sync.h"
-#include "core/membership/zone_lease.h"
 #include "core/ownership/ownership.h"
 #include "core/request/requests.h"
 
--- a/src/core/membership/lost_members.cc
+++ b/src/core/membership/lost_members.cc
@@ -1,10 +1,11 @@
+#include "core/membership/lost_members.h"
+
 #include <algorithm>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/fences.h"
 #include "core/membership/liveness.h"
-#include "core/membership/lost_members.h"
 #include "core/membership/vm_watch.h"
-#include "core/membership/zone_lease.h"
 
 namespace eelgrasspin::core::membership {
 namespace {
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/fences.h"
 #include "core/membership/liveness.h"
 #include "core/membership/roster.h"
 #include "core/membership/store_sync.h"
 #include "core/membership/vm_watch.h"
-#include "core/membership/zone_lease.h"
 #include "core/state.h"
 
 namespace eelgrasspin::core::membership {
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/fences.h"
 #include "core/membership/front_assignment.h"
 #include "core/membership/liveness.h"
@@ -10,7 +11,6 @@
 #include "core/membership/reports.h"
 #include "core/membership/roster_events.h"
 #include "core/membership/vm_watch.h"
-#include "core/membership/zone_lease.h"
 
 namespace eelgrasspin::core::membership {
 namespace {
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -4,8 +4,8 @@
 #include <set>
 #include <utility>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/peer_send.h"
-#include "core/membership/zone_lease.h"
 
 namespace eelgrasspin::core::membership {
 namespace {
--- a/src/core/membership/zone_lease.cc
+++ b/src/core/membership/zone_lease.cc
@@ -1,8 +1,7 @@
-#include "core/membership/zone_lease.h"
-
 #include <algorithm>
 #include <utility>
 
+#include "core/membership/coordinator_lease.h"
 #include "core/membership/fences.h"
 #include "core/membership/store_sync.h"
 
