--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -131,7 +131,7 @@
 /// Deaths of one server's connections within this count once for a request.
 inline constexpr Duration kStrikeWindow = milliseconds(500);
 inline constexpr Duration kStrikeResendInterval = milliseconds(250);
-inline constexpr std::uint32_t kStrikeTries = 4;
+inline constexpr std::uint32_t kMaxStrikeSends = 4;
 inline constexpr std::size_t kMaxQuarantineEntries = 1024;
 inline constexpr Duration kIntentRetention = minutes(10);
 inline constexpr Duration kIntentCommitInterval = milliseconds(5);
