--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -44,9 +44,9 @@
 };
 enum class WriteOutcome : std::uint8_t {
   kWritten,
-  kConflict,  ///< Not written; the map as it is follows as MapSeen.
-  kNotDone,   ///< The store refused; nothing was written.
-  kUnknown,   ///< No answer: it may be written now, later or never.
+  kConflict,      ///< Not written; the map as it is follows as MapSeen.
+  kWriteRefused,  ///< The store refused; nothing was written.
+  kUnknown,       ///< No answer: it may be written now, later or never.
 };
 struct MapWriteEnded {
   ServiceName service;
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -229,7 +229,7 @@
       map.next_write = now + kWriteRetry;
       effects.emplace_back(ReadMap{ended.service});
       break;
-    case WriteOutcome::kNotDone:
+    case WriteOutcome::kWriteRefused:
       // An earlier send of the same write may still be carried out.
       map.reread = map.uncertain;
       if (!map.uncertain) map.writing.reset();
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -313,7 +313,7 @@
   if (failure.fault == StoreFault::kConflict) outcome = WriteOutcome::kConflict;
   if (failure.fault == StoreFault::kRefused ||
       failure.fault == StoreFault::kMissing) {
-    outcome = WriteOutcome::kNotDone;
+    outcome = WriteOutcome::kWriteRefused;
   }
   sink_(fleet::MapWriteEnded{service, outcome, Version()});
 }
