--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -142,7 +142,7 @@
 inline constexpr Duration kIntentResendInterval = milliseconds(250);
 /// Outcomes are told this often before a front gives up; repeats are then told
 /// "unknown".
-inline constexpr std::uint32_t kIntentOutcomeTries = 8;
+inline constexpr std::uint32_t kMaxIntentOutcomeSends = 8;
 inline constexpr Duration kIntentExpiryInterval = seconds(10);
 
 // Callers' connections.
--- a/src/core/request/intents.cc
+++ b/src/core/request/intents.cc
@@ -158,7 +158,7 @@
 }
 
 bool gives_up(const core::State& state, const LedgerCall& call) {
-  if (call.outcomes) return call.tries >= config::kIntentOutcomeTries;
+  if (call.outcomes) return call.tries >= config::kMaxIntentOutcomeSends;
   for (RequestId id : call.requests) {
     auto it = state.request.open.find(id);
     if (it != state.request.open.end() &&
