--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -6,7 +6,7 @@
 #include "core/membership/membership.h"
 #include "core/ownership/history.h"
 #include "core/ownership/maps.h"
-#include "core/ownership/orders.h"
+#include "core/ownership/move_orders.h"
 #include "core/ownership/placement_orders.h"
 #include "core/ownership/zones.h"
 #include "core/state.h"
--- a/src/core/ownership/orders.h
+++ b/src/core/ownership/move_orders.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CORE_OWNERSHIP_ORDERS_H_
-#define EELGRASSPIN_CORE_OWNERSHIP_ORDERS_H_
+#ifndef EELGRASSPIN_CORE_OWNERSHIP_MOVE_ORDERS_H_
+#define EELGRASSPIN_CORE_OWNERSHIP_MOVE_ORDERS_H_
 
 #include "core/ownership/map_edit.h"
 
@@ -12,4 +12,4 @@
 
 }  // namespace eelgrasspin::core::ownership
 
-#endif  // EELGRASSPIN_CORE_OWNERSHIP_ORDERS_H_
+#endif  // EELGRASSPIN_CORE_OWNERSHIP_MOVE_ORDERS_H_
--- a/src/core/ownership/orders.cc
+++ b/src/core/ownership/orders.cc
@@ -1,9 +1,8 @@
-#include "core/ownership/orders.h"
-
 #include <utility>
 
 #include "core/membership/membership.h"
 #include "core/ownership/maps.h"
+#include "core/ownership/move_orders.h"
 #include "core/ownership/ownership.h"
 #include "core/state.h"
 
