--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -66,7 +66,7 @@
     json::array service_times;
     for (const auto& speed : heat.service_times) {
       service_times.push_back(json::array{speed.server.str(),
-                                          hundredths(speed.answers),
+                                          hundredths(speed.answer_count),
                                           to_ms(speed.service_time)});
     }
     key_load_reports.push_back(json::array{heat.service.str(), std::move(keys),
--- a/src/fleet/learning.cc
+++ b/src/fleet/learning.cc
@@ -62,9 +62,9 @@
   // Only a request that found a free slot shows the time of service alone.
   if (load >= server.server.slots) return;
   server.service_time = mean_towards(server.service_time, latency);
-  server.answers =
-      halved(server.answers, now - server.answers_at, config::kHeatHalfLife) +
-      1;
+  server.answer_count = halved(server.answer_count, now - server.answers_at,
+                               config::kHeatHalfLife) +
+                        1;
   server.answers_at = now;
   ServiceStats& stats = state.stats[server.server.service];
   stats.service_time = mean_towards(stats.service_time, latency);
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -155,7 +155,7 @@
   std::vector<Load> loads;  ///< Only servers it has requests at.
   struct Speed {
     ServerName server;
-    double answers = 0;        ///< Decayed count.
+    double answer_count = 0;   ///< Decayed count.
     Duration service_time{0};  ///< Their mean.
   };
   /// Only in heartbeats to the coordinator of the service.
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -25,32 +25,34 @@
                                             const ServiceName& service,
                                             TimePoint now) {
   struct Sum {
-    double answers = 0;
+    double answer_count = 0;
     double total = 0;
   };
   std::map<ServerName, Sum> sums;
-  auto add = [&sums](const ServerName& name, double answers, Duration mean) {
+  auto add = [&sums](const ServerName& name, double answer_count,
+                     Duration mean) {
     Sum& sum = sums[name];
-    sum.answers += answers;
-    sum.total += answers * static_cast<double>(mean.count());
+    sum.answer_count += answer_count;
+    sum.total += answer_count * static_cast<double>(mean.count());
   };
   for (const auto& [name, peer] : state.fleet.heard) {
     if (now - peer.heat_heard > config::kHeatRetention) continue;
     for (const auto& heat : peer.heartbeat.key_load_reports) {
       if (heat.service != service) continue;
       for (const auto& speed : heat.service_times) {
-        add(speed.server, speed.answers, speed.service_time);
+        add(speed.server, speed.answer_count, speed.service_time);
       }
     }
   }
   for (const auto& [name, server] : state.servers) {
-    if (server.answers > 0) add(name, server.answers, server.service_time);
+    if (server.answer_count > 0)
+      add(name, server.answer_count, server.service_time);
   }
   std::map<ServerName, Duration> service_times;
   for (const auto& [name, sum] : sums) {
-    if (sum.answers < kLeastAnswers) continue;
+    if (sum.answer_count < kLeastAnswers) continue;
     service_times[name] =
-        Duration(static_cast<Duration::rep>(sum.total / sum.answers));
+        Duration(static_cast<Duration::rep>(sum.total / sum.answer_count));
   }
   return service_times;
 }
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -31,7 +31,7 @@
   double success = 1.0;         ///< Running rate of useful outcomes.
   TimePoint success_at;
   TimePoint blocked_until;  ///< No connection could be made.
-  double answers = 0;       ///< Decayed count behind `service_time`.
+  double answer_count = 0;  ///< Decayed count behind `service_time`.
   TimePoint answers_at;
 };
 
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -86,17 +86,17 @@
 using Speeds = std::map<ServerName, Heartbeat::Speed>;
 
 void add_speed(Speeds& service_times, const Heartbeat::Speed& added) {
-  if (added.answers <= 0) return;
+  if (added.answer_count <= 0) return;
   Heartbeat::Speed& speed =
       service_times
           .try_emplace(added.server, Heartbeat::Speed{added.server, 0, {}})
           .first->second;
-  double answers = speed.answers + added.answers;
+  double answer_count = speed.answer_count + added.answer_count;
   double total =
-      speed.answers * static_cast<double>(speed.service_time.count()) +
-      added.answers * static_cast<double>(added.service_time.count());
-  speed = {added.server, answers,
-           Duration(static_cast<Duration::rep>(total / answers))};
+      speed.answer_count * static_cast<double>(speed.service_time.count()) +
+      added.answer_count * static_cast<double>(added.service_time.count());
+  speed = {added.server, answer_count,
+           Duration(static_cast<Duration::rep>(total / answer_count))};
 }
 
 void add_own_heat(const State& state, const ServiceName& service,
@@ -111,8 +111,9 @@
   if (servers == state.by_service.end()) return;
   for (const ServerName& name : servers->second) {
     const ServerState& server = state.servers.at(name);
-    if (server.answers >= 1) {
-      add_speed(service_times, {name, server.answers, server.service_time});
+    if (server.answer_count >= 1) {
+      add_speed(service_times,
+                {name, server.answer_count, server.service_time});
     }
   }
 }
