--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -89,7 +89,7 @@
 /// A server that came back takes its full share of load after this.
 inline constexpr Duration kColdStartRamp = seconds(30);
 /// Level of load, against the mean, above which a server gives load away ...
-inline constexpr double kOverloadStart = 1.25;
+inline constexpr double kOverloadStartRatio = 1.25;
 /// ... until it is at most at this level.
 inline constexpr double kOverloadStop = 1.10;
 /// Level below which a server is given load.
--- a/src/core/ownership/placement.cc
+++ b/src/core/ownership/placement.cc
@@ -94,7 +94,7 @@
                      [&](const ServerLoad& server) {
                        double at = level(totals, server, server.rate);
                        double slack = noise(totals, server);
-                       return at > config::kOverloadStart + slack ||
+                       return at > config::kOverloadStartRatio + slack ||
                               at < config::kUnderloadStart - slack;
                      });
 }
