--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -58,7 +58,7 @@
 inline constexpr Duration kFirstMapQuiet = milliseconds(700);
 /// Without an answer of the store for this long a coordinator lets another
 /// daemon take over.
-inline constexpr Duration kStoreSilence = milliseconds(2500);
+inline constexpr Duration kCoordinatorStoreTimeout = milliseconds(2500);
 
 // Grants.
 /// Time for which keys with traffic are granted: it bounds how long they are
--- a/src/fleet/election.cc
+++ b/src/fleet/election.cc
@@ -23,7 +23,9 @@
           XXH64(text.data(), text.size(), 0)};
 }
 
-bool has_store(Duration silence) { return silence < config::kStoreSilence; }
+bool has_store(Duration silence) {
+  return silence < config::kCoordinatorStoreTimeout;
+}
 
 /// No other daemon that could take over ranks before this one.
 bool first_candidate(const State& state, const ServiceName& service,
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -116,7 +116,7 @@
 }
 
 bool store_reachable(const State& state, TimePoint now) {
-  return store_unreachable_for(state, now) < config::kStoreSilence;
+  return store_unreachable_for(state, now) < config::kCoordinatorStoreTimeout;
 }
 
 /// A coordinator cut off from the store for long may have been replaced.
