--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -91,7 +91,7 @@
 /// Level of load, against the mean, above which a server gives load away ...
 inline constexpr double kOverloadStartRatio = 1.25;
 /// ... until it is at most at this level.
-inline constexpr double kOverloadStop = 1.10;
+inline constexpr double kOverloadStopRatio = 1.10;
 /// Level below which a server is given load.
 inline constexpr double kUnderloadStart = 0.60;
 /// Cost of moving one slot, in units of the imbalance measure.
--- a/src/core/ownership/placement.cc
+++ b/src/core/ownership/placement.cc
@@ -103,8 +103,8 @@
   return std::all_of(summary.servers.begin(), summary.servers.end(),
                      [&](const ServerLoad& server) {
                        double at = level(totals, server, server.rate);
-                       return at <= config::kOverloadStop &&
-                              at >= 2 - config::kOverloadStop -
+                       return at <= config::kOverloadStopRatio &&
+                              at >= 2 - config::kOverloadStopRatio -
                                         (1 - config::kUnderloadStart) / 2;
                      });
 }
