--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -8,7 +8,7 @@
 #include "core/ownership/maps.h"
 #include "core/ownership/move_orders.h"
 #include "core/ownership/placement_orders.h"
-#include "core/ownership/zones.h"
+#include "core/ownership/zone_maps.h"
 #include "core/state.h"
 
 namespace eelgrasspin::core::ownership {
--- a/src/core/ownership/zones.h
+++ b/src/core/ownership/zone_maps.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CORE_OWNERSHIP_ZONES_H_
-#define EELGRASSPIN_CORE_OWNERSHIP_ZONES_H_
+#ifndef EELGRASSPIN_CORE_OWNERSHIP_ZONE_MAPS_H_
+#define EELGRASSPIN_CORE_OWNERSHIP_ZONE_MAPS_H_
 
 #include "core/effect.h"
 #include "core/ownership/state.h"
@@ -18,4 +18,4 @@
 
 }  // namespace eelgrasspin::core::ownership
 
-#endif  // EELGRASSPIN_CORE_OWNERSHIP_ZONES_H_
+#endif  // EELGRASSPIN_CORE_OWNERSHIP_ZONE_MAPS_H_
--- a/src/core/ownership/zones.cc
+++ b/src/core/ownership/zones.cc
@@ -1,10 +1,9 @@
-#include "core/ownership/zones.h"
-
 #include <algorithm>
 #include <utility>
 
 #include "core/ownership/maps.h"
 #include "core/ownership/spread.h"
+#include "core/ownership/zone_maps.h"
 #include "core/state.h"
 
 namespace eelgrasspin::core::ownership {
