--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -93,7 +93,7 @@
 /// ... until it is at most at this level.
 inline constexpr double kOverloadStopRatio = 1.10;
 /// Level below which a server is given load.
-inline constexpr double kUnderloadStart = 0.60;
+inline constexpr double kUnderloadRatio = 0.60;
 /// Cost of moving one slot, in units of the imbalance measure.
 inline constexpr double kSlotMoveCost = 0.0005;
 /// Cost of moving one carved-out key, in units of the imbalance measure.
--- a/src/core/ownership/placement.cc
+++ b/src/core/ownership/placement.cc
@@ -95,7 +95,7 @@
                        double at = level(totals, server, server.rate);
                        double slack = noise(totals, server);
                        return at > config::kOverloadStartRatio + slack ||
-                              at < config::kUnderloadStart - slack;
+                              at < config::kUnderloadRatio - slack;
                      });
 }
 
@@ -105,7 +105,7 @@
                        double at = level(totals, server, server.rate);
                        return at <= config::kOverloadStopRatio &&
                               at >= 2 - config::kOverloadStopRatio -
-                                        (1 - config::kUnderloadStart) / 2;
+                                        (1 - config::kUnderloadRatio) / 2;
                      });
 }
 
