--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -35,7 +35,7 @@
   std::size_t body_bytes = config::kMaxBodyBytes;
   std::size_t connections = config::kMaxCallerConnections;
   /// Longest time from the first byte of a request to its last.
-  Duration receive_limit = config::kReceiveLimit;
+  Duration receive_limit = config::kRequestReceiveTimeout;
   /// Longest time a connection stays open without a request.
   Duration idle_limit = config::kIdleConnectionLimit;
   /// Builds the answer to a request that is refused before it is whole.
