--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -53,7 +53,8 @@
   const std::vector<SlotId>& missing = edit.index.missing;
   if (zones == nullptr || missing.empty()) return;
   std::vector<double> capacities;
-  for (const Share& share : edit.shares) capacities.push_back(share.capacity);
+  for (const PlacementCandidate& share : edit.shares)
+    capacities.push_back(share.capacity);
   std::vector<std::size_t> counts = split_evenly(missing.size(), capacities);
   OwnershipMap& map = editable(edit);
   std::size_t share = 0;
@@ -93,12 +94,12 @@
 }
 
 ServerName pick_target(MapEdit& edit, const ServerName& avoid) {
-  std::vector<Share> others;
-  for (const Share& share : edit.shares) {
+  std::vector<PlacementCandidate> others;
+  for (const PlacementCandidate& share : edit.shares) {
     if (share.server != avoid) others.push_back(share);
   }
   ServerName target = place_on_lightest(others, 1);
-  for (Share& share : edit.shares) {
+  for (PlacementCandidate& share : edit.shares) {
     if (share.server == target) ++share.load;
   }
   return target;
--- a/src/core/ownership/map_edit.h
+++ b/src/core/ownership/map_edit.h
@@ -26,7 +26,7 @@
   const MapIndex& index;
   const OwnershipMap& current;
   ServerViews servers;
-  std::vector<Share> shares;
+  std::vector<PlacementCandidate> shares;
   std::map<ServerName, std::set<SlotGrant>> released;
   std::optional<OwnershipMap> next;  ///< Set once something has changed.
 
--- a/src/core/ownership/servers.cc
+++ b/src/core/ownership/servers.cc
@@ -98,13 +98,13 @@
   return !view.declared->checks_grants && view.status == ServerStatus::kLost;
 }
 
-std::vector<Share> usable_shares(const ServerViews& views,
-                                 const MapIndex* index) {
+std::vector<PlacementCandidate> usable_shares(const ServerViews& views,
+                                              const MapIndex* index) {
   bool any_granted =
       std::any_of(views.begin(), views.end(), [](const auto& entry) {
         return is_usable(entry.second) && holds_grant(entry.second);
       });
-  std::vector<Share> shares;
+  std::vector<PlacementCandidate> shares;
   for (const auto& [server, view] : views) {
     if (!is_usable(view) || (any_granted && !holds_grant(view))) continue;
     double load = index == nullptr ? 0 : unit_count(*index, server);
--- a/src/core/ownership/servers.h
+++ b/src/core/ownership/servers.h
@@ -41,8 +41,8 @@
 
 /// Shares of the usable servers, loaded with what the index says they own and
 /// what they are about to get. Servers that hold a grant are preferred.
-std::vector<Share> usable_shares(const ServerViews& views,
-                                 const MapIndex* index);
+std::vector<PlacementCandidate> usable_shares(const ServerViews& views,
+                                              const MapIndex* index);
 
 /// Keeps the statuses on the roster in step with reports and drain plans.
 void update_statuses(core::State& state, const ServerViews& views,
--- a/src/core/ownership/spread.cc
+++ b/src/core/ownership/spread.cc
@@ -5,10 +5,11 @@
 
 namespace eelgrasspin::core::ownership {
 
-ServerName place_on_lightest(std::vector<Share>& shares, double load) {
-  Share* best = nullptr;
+ServerName place_on_lightest(std::vector<PlacementCandidate>& shares,
+                             double load) {
+  PlacementCandidate* best = nullptr;
   double best_level = 0;
-  for (Share& share : shares) {
+  for (PlacementCandidate& share : shares) {
     double level = (share.load + load) / share.capacity;
     if (best == nullptr || level < best_level) {
       best = &share;
--- a/src/core/ownership/spread.h
+++ b/src/core/ownership/spread.h
@@ -9,7 +9,7 @@
 /// Shares units out over backend servers in proportion to their capacity.
 namespace eelgrasspin::core::ownership {
 
-struct Share {
+struct PlacementCandidate {
   ServerName server;
   double capacity = 1;
   double load = 0;
@@ -17,7 +17,8 @@
 
 /// The share with the least load for its capacity takes `load`. Empty name if
 /// there is none.
-ServerName place_on_lightest(std::vector<Share>& shares, double load);
+ServerName place_on_lightest(std::vector<PlacementCandidate>& shares,
+                             double load);
 
 /// Splits `count` equal units in proportion to `capacities`; the result adds up
 /// to `count` unless there are no capacities.
--- a/src/scenario/placement_compare.cc
+++ b/src/scenario/placement_compare.cc
@@ -229,7 +229,7 @@
   std::vector<double> loads(run.load.servers, 0);
   bool fresh = run.owner.front() == kNobody;
   if (!fresh) loads = loads_of(run, rates);
-  std::vector<ownership::Share> shares;
+  std::vector<ownership::PlacementCandidate> shares;
   for (std::uint32_t i = 0; i < run.load.servers; ++i) {
     if (run.alive[i])
       shares.push_back({name_of(i), 1.0 * run.load.concurrency, loads[i]});
