--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -149,7 +149,7 @@
 inline constexpr std::size_t kMaxCallerConnections = 4096;
 /// Longest time from a request's first byte to its last.
 inline constexpr Duration kRequestReceiveTimeout = seconds(10);
-inline constexpr Duration kIdleConnectionLimit = seconds(75);
+inline constexpr Duration kIdleConnectionTimeout = seconds(75);
 /// Bodies of requests not yet ended, together.
 inline constexpr std::size_t kMaxHeldBodyBytes = 96 * 1024 * 1024;
 
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -37,7 +37,7 @@
   /// Longest time from the first byte of a request to its last.
   Duration receive_limit = config::kRequestReceiveTimeout;
   /// Longest time a connection stays open without a request.
-  Duration idle_limit = config::kIdleConnectionLimit;
+  Duration idle_limit = config::kIdleConnectionTimeout;
   /// Builds the answer to a request that is refused before it is whole.
   std::function<HttpResponse(int status, std::string why)> refusal;
 };
