--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -98,7 +98,7 @@
   for (const PlacementCandidate& share : edit.shares) {
     if (share.server != avoid) others.push_back(share);
   }
-  ServerName target = place_on_lightest(others, 1);
+  ServerName target = place_on_least_loaded(others, 1);
   for (PlacementCandidate& share : edit.shares) {
     if (share.server == target) ++share.load;
   }
--- a/src/core/ownership/spread.cc
+++ b/src/core/ownership/spread.cc
@@ -5,8 +5,8 @@
 
 namespace eelgrasspin::core::ownership {
 
-ServerName place_on_lightest(std::vector<PlacementCandidate>& shares,
-                             double load) {
+ServerName place_on_least_loaded(std::vector<PlacementCandidate>& shares,
+                                 double load) {
   PlacementCandidate* best = nullptr;
   double best_level = 0;
   for (PlacementCandidate& share : shares) {
--- a/src/core/ownership/spread.h
+++ b/src/core/ownership/spread.h
@@ -17,8 +17,8 @@
 
 /// The share with the least load for its capacity takes `load`. Empty name if
 /// there is none.
-ServerName place_on_lightest(std::vector<PlacementCandidate>& shares,
-                             double load);
+ServerName place_on_least_loaded(std::vector<PlacementCandidate>& shares,
+                                 double load);
 
 /// Splits `count` equal units in proportion to `capacities`; the result adds up
 /// to `count` unless there are no capacities.
--- a/src/scenario/placement_compare.cc
+++ b/src/scenario/placement_compare.cc
@@ -241,7 +241,7 @@
                 [&](const auto& entry) { return is_lost(entry.second); });
   for (std::uint32_t slot = 0; slot < run.load.slots; ++slot) {
     if (!is_lost(run.owner[slot])) continue;
-    run.owner[slot] = index_of(ownership::place_on_lightest(
+    run.owner[slot] = index_of(ownership::place_on_least_loaded(
         shares, std::max(1e-6, fresh ? 1.0 : rates.slots[slot])));
   }
 }
