--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -50,7 +50,7 @@
 void on_stop(State& state, TimePoint now, Effects& effects) {
   if (state.stopping) return;
   state.stopping = true;
-  state.stop_ordered = now;
+  state.stop_ordered_at = now;
   note(effects, "stop_ordered", {{"open", text(state.requests.size())}});
   announce_stop(state, now, effects);
 }
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -227,7 +227,7 @@
   TimePoint store_failed;  ///< Last time the store did not answer.
   TimePoint outage_ended;
   bool stopping = false;
-  TimePoint stop_ordered;
+  TimePoint stop_ordered_at;
   bool ready = false;
   std::uint64_t draws = 0;  ///< Advances the tie-breaking sequence.
 };
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -407,7 +407,7 @@
 }
 
 void FleetShell::finish_stop() {
-  Duration stopping = boot_now() - state_.stop_ordered;
+  Duration stopping = boot_now() - state_.stop_ordered_at;
   Duration linger = std::min(fleet::config::kStopLinger,
                              state_.settings.stop_timeout - kStopMargin);
   if (stopping >= linger && !closing_) {
