--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -172,7 +172,7 @@
 inline constexpr Duration kZoneSilentAfter = seconds(10);
 /// An order whose record is not confirmed by then is answered as unknown.
 inline constexpr Duration kOrderConfirmLimit = seconds(4);
-inline constexpr Duration kFanOutLimit = milliseconds(1500);
+inline constexpr Duration kFanOutTimeout = milliseconds(1500);
 /// Finished commands kept in the store.
 inline constexpr std::size_t kMaxFinishedCommands = 256;
 inline constexpr std::size_t kTimelineEvents = 4096;
--- a/src/core/operator/fan_out.cc
+++ b/src/core/operator/fan_out.cc
@@ -68,7 +68,7 @@
   FanOut& fan_out = state.operators.fan_outs[number];
   fan_out.call = received.call;
   fan_out.command = received.command;
-  fan_out.deadline = now.mono + config::kFanOutLimit;
+  fan_out.deadline = now.mono + config::kFanOutTimeout;
   fan_out.answer.sections.push_back({"", table_of(state, show.subject, now)});
   for (const auto& [daemon, address] : other_daemons(state)) {
     fan_out.waiting.insert(daemon);
