--- a/src/core/ownership/sketch.cc
+++ b/src/core/ownership/sketch.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void note(Sketch& sketch, const Key& key, double weight) {
+void add_occurrence(Sketch& sketch, const Key& key, double weight) {
   auto it = sketch.entries.find(key);
   if (it != sketch.entries.end()) {
     raise(sketch, key, it->second, weight);
--- a/src/core/ownership/sketch.h
+++ b/src/core/ownership/sketch.h
@@ -35,7 +35,7 @@
 };
 
 /// Counts one occurrence of a key.
-void note(Sketch& sketch, const Key& key, double weight = 1);
+void add_occurrence(Sketch& sketch, const Key& key, double weight = 1);
 
 /// The `n` keys with the highest counts, highest first.
 std::vector<CountedKey> top(const Sketch& sketch, std::size_t n);
--- a/src/core/request/load.cc
+++ b/src/core/request/load.cc
@@ -20,7 +20,7 @@
 void count_load(LoadCounts& load, SlotId slot, const Key& key, Now now) {
   age_load(load, now);
   load.slots[slot] += 1;
-  ownership::note(load.keys, key);
+  ownership::add_occurrence(load.keys, key);
 }
 
 void age_load(LoadCounts& load, Now now) {
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -55,8 +55,8 @@
 TEST(SketchTest, KeepsTheBusiestKeysInBoundedMemory) {
   Sketch sketch{.capacity = 16};
   for (int i = 0; i < 2000; ++i) {
-    note(sketch, Key("hot"));
-    note(sketch, Key("cold-" + std::to_string(i)));
+    add_occurrence(sketch, Key("hot"));
+    add_occurrence(sketch, Key("cold-" + std::to_string(i)));
   }
   EXPECT_EQ(sketch.entries.size(), 16U);
   std::vector<CountedKey> best = top(sketch, 1);
