--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -171,7 +171,7 @@
 /// closure whose deadline has passed.
 inline constexpr Duration kZoneSilentAfter = seconds(10);
 /// An order whose record is not confirmed by then is answered as unknown.
-inline constexpr Duration kOrderConfirmLimit = seconds(4);
+inline constexpr Duration kOrderConfirmTimeout = seconds(4);
 inline constexpr Duration kFanOutTimeout = milliseconds(1500);
 /// Finished commands kept in the store.
 inline constexpr std::size_t kMaxFinishedCommands = 256;
