--- a/src/core/ownership/sketch.cc
+++ b/src/core/ownership/sketch.cc
@@ -34,7 +34,7 @@
   sketch.by_count.emplace(error + weight, key);
 }
 
-std::vector<CountedKey> top(const Sketch& sketch, std::size_t n) {
+std::vector<CountedKey> top_keys(const Sketch& sketch, std::size_t n) {
   std::vector<CountedKey> keys;
   for (auto it = sketch.by_count.rbegin();
        it != sketch.by_count.rend() && keys.size() < n; ++it) {
--- a/src/core/ownership/sketch.h
+++ b/src/core/ownership/sketch.h
@@ -38,7 +38,7 @@
 void add_occurrence(Sketch& sketch, const Key& key, double weight = 1);
 
 /// The `n` keys with the highest counts, highest first.
-std::vector<CountedKey> top(const Sketch& sketch, std::size_t n);
+std::vector<CountedKey> top_keys(const Sketch& sketch, std::size_t n);
 
 /// Multiplies all counts, so that old occurrences weigh less. `factor` is in
 /// (0, 1].
--- a/src/core/request/load.cc
+++ b/src/core/request/load.cc
@@ -55,7 +55,7 @@
             });
   if (load.slot_rates.size() > kReportedSlots)
     load.slot_rates.resize(kReportedSlots);
-  for (const auto& item : ownership::top(counts.keys, kReportedKeys))
+  for (const auto& item : ownership::top_keys(counts.keys, kReportedKeys))
     load.hot_keys.push_back({item.key, rate_of(item.count)});
   return load;
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -59,12 +59,12 @@
     add_occurrence(sketch, Key("cold-" + std::to_string(i)));
   }
   EXPECT_EQ(sketch.entries.size(), 16U);
-  std::vector<CountedKey> best = top(sketch, 1);
+  std::vector<CountedKey> best = top_keys(sketch, 1);
   ASSERT_EQ(best.size(), 1U);
   EXPECT_EQ(best[0].key, Key("hot"));
   EXPECT_GE(best[0].count, 2000);
   decay(sketch, 0.5);
-  EXPECT_EQ(top(sketch, 1)[0].count, best[0].count / 2);
+  EXPECT_EQ(top_keys(sketch, 1)[0].count, best[0].count / 2);
 }
 
 }  // namespace
