--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -99,7 +99,7 @@
 }
 
 void Shell::request_stop() {
-  stop_timer_.expires_after(config::kGracefulStopLimit);
+  stop_timer_.expires_after(config::kGracefulStopTimeout);
   stop_timer_.async_wait([this](error_code failed) {
     if (!failed) exit();
   });
