--- a/src/core/ownership/ownership.h
+++ b/src/core/ownership/ownership.h
@@ -26,11 +26,11 @@
   kSend,  ///< The server holds the key's slot under a grant in force.
   kHold,  ///< Not now; it may be allowed soon (grant under way, or a move not
           ///< finished).
-  kGone,  ///< This daemon is not the front of the key's owner.
+  kNotFront,  ///< This daemon is not the front of the key's owner.
 };
 
 struct SendCheck {
-  SendPermission permission = SendPermission::kGone;
+  SendPermission permission = SendPermission::kNotFront;
   Epoch epoch;  ///< To be sent with the request, when allowed.
   FrontEpoch front_epoch;
 };
--- a/src/core/request/front_queue.cc
+++ b/src/core/request/front_queue.cc
@@ -58,7 +58,7 @@
   }
   ownership::SendCheck check =
       ownership::check_send(state, server, request.slot, request.key, now);
-  if (check.permission == ownership::SendPermission::kGone)
+  if (check.permission == ownership::SendPermission::kNotFront)
     scan.gone.push_back(id);
   if (check.permission != ownership::SendPermission::kSend) return false;
   if (!may_send(state, request)) return false;
