--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -169,7 +169,7 @@
 inline constexpr Duration kAccountInterval = seconds(5);
 /// A zone whose coordinator has not renewed for this long is passed over by a
 /// closure whose deadline has passed.
-inline constexpr Duration kZoneSilentAfter = seconds(10);
+inline constexpr Duration kClosureZoneTimeout = seconds(10);
 /// An order whose record is not confirmed by then is answered as unknown.
 inline constexpr Duration kOrderConfirmTimeout = seconds(4);
 inline constexpr Duration kFanOutTimeout = milliseconds(1500);
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -119,13 +119,13 @@
 bool is_silent(const core::State& state, const ZoneName& zone, Now now) {
   auto it = state.operators.leases.find(zone);
   return it == state.operators.leases.end() ||
-         now.mono - it->second.changed > config::kZoneSilentAfter;
+         now.mono - it->second.changed > config::kClosureZoneTimeout;
 }
 
 void advance(core::State& state, Closure& closure, Now now) {
   ClosureStep goal = next(closure.step);
   const Declarations* all = declarations(state.cache);
-  bool overdue = now.wall >= closure.deadline + config::kZoneSilentAfter;
+  bool overdue = now.wall >= closure.deadline + config::kClosureZoneTimeout;
   std::vector<ZoneName> passed_over;
   for (const auto& [zone, unused] : all->zones) {
     if (reached_by(closure, zone) >= goal) continue;
