--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -40,7 +40,7 @@
                            ///< everything.
   std::map<ServiceName, DaemonAccount> accounts;
 };
-const std::map<DaemonName, HeardAccounts>& heard_accounts(
+const std::map<DaemonName, HeardAccounts>& received_accounts(
     const core::State& state);
 
 /// Brings the next heartbeat forward to the next tick: the reports in it have
--- a/src/core/operator/accounts.cc
+++ b/src/core/operator/accounts.cc
@@ -84,7 +84,7 @@
 /// Takes over what the zone's members last reported. A daemon that coordinates
 /// two zones hears both; each account belongs to one book.
 void merge_heard(core::State& state, const BookKey& key, AccountBook& book) {
-  for (const auto& [daemon, heard] : membership::heard_accounts(state)) {
+  for (const auto& [daemon, heard] : membership::received_accounts(state)) {
     auto it = heard.accounts.find(key.first);
     if (it == heard.accounts.end()) continue;
     if (is_member(state, key.second, daemon)) merge(book, it->second);
