--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -125,7 +125,7 @@
 inline constexpr Duration kForwardMargin = milliseconds(40);
 /// Retry-After of a request refused because a queue is full.
 inline constexpr Duration kShedRetryAfter = milliseconds(500);
-inline constexpr std::size_t kRefusalSamples = 16;
+inline constexpr std::size_t kMaxRefusalSamples = 16;
 inline constexpr std::uint32_t kQuarantineStrikes = 2;
 inline constexpr Duration kQuarantineTime = minutes(10);
 /// Deaths of one server's connections within this count once for a request.
--- a/src/core/request/accounts.cc
+++ b/src/core/request/accounts.cc
@@ -55,7 +55,8 @@
   if (outcome == Outcome::kAnswered) return;
   book.samples.push_back(
       {now.wall, request.operation, request.key, outcome, reason});
-  if (book.samples.size() > config::kRefusalSamples) book.samples.pop_front();
+  if (book.samples.size() > config::kMaxRefusalSamples)
+    book.samples.pop_front();
 }
 
 bool take_retry(core::State& state, const OpenRequest& request) {
