--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -80,7 +80,7 @@
   return state.membership.front_reports;
 }
 
-const std::map<DaemonName, HeardAccounts>& received_accounts(
+const std::map<DaemonName, ReceivedAccounts>& received_accounts(
     const core::State& state) {
   return state.membership.accounts;
 }
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -33,14 +33,14 @@
     const core::State& state);
 
 /// Latest accounts of a coordinated zone's daemons, with when each was heard.
-struct HeardAccounts {
+struct ReceivedAccounts {
   TimePoint heard;
   Incarnation incarnation;
   Version cache_revision;  ///< Store revision up to which the daemon knows
                            ///< everything.
   std::map<ServiceName, DaemonAccount> accounts;
 };
-const std::map<DaemonName, HeardAccounts>& received_accounts(
+const std::map<DaemonName, ReceivedAccounts>& received_accounts(
     const core::State& state);
 
 /// Brings the next heartbeat forward to the next tick: the reports in it have
--- a/src/core/membership/reports.cc
+++ b/src/core/membership/reports.cc
@@ -33,8 +33,8 @@
 }
 
 void take_accounts(core::State& state, const Heartbeat& beat, Now now) {
-  HeardAccounts& known = state.membership.accounts[beat.daemon];
-  if (known.incarnation != beat.incarnation) known = HeardAccounts{};
+  ReceivedAccounts& known = state.membership.accounts[beat.daemon];
+  if (known.incarnation != beat.incarnation) known = ReceivedAccounts{};
   known.heard = now.mono;
   known.incarnation = beat.incarnation;
   known.cache_revision = beat.cache_revision;
--- a/src/core/membership/state.h
+++ b/src/core/membership/state.h
@@ -135,7 +135,7 @@
   TimePoint resumed;  ///< Start of this run, or end of the last pause.
   std::map<ServerName, FrontReport> front_reports;
   std::map<ServerName, std::set<FrontEpoch>> stopped_fronts;
-  std::map<DaemonName, HeardAccounts> accounts;
+  std::map<DaemonName, ReceivedAccounts> accounts;
   std::map<ServerName, ServerStatus> wanted_statuses;
   bool roster_due = false;  ///< Something a roster depends on has changed.
   TimePoint next_roster;
