--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -175,7 +175,7 @@
 inline constexpr Duration kFanOutTimeout = milliseconds(1500);
 /// Finished commands kept in the store.
 inline constexpr std::size_t kMaxFinishedCommands = 256;
-inline constexpr std::size_t kTimelineEvents = 4096;
+inline constexpr std::size_t kMaxTimelineEvents = 4096;
 inline constexpr Duration kGracefulStopTimeout = seconds(30);
 
 }  // namespace eelgrasspin::config
--- a/src/core/state.cc
+++ b/src/core/state.cc
@@ -15,7 +15,7 @@
   if (event.zone.empty()) event.zone = state.self.zone;
   event.revision = state.membership.revision;
   state.timeline.events.push_back(event);
-  if (state.timeline.events.size() > config::kTimelineEvents)
+  if (state.timeline.events.size() > config::kMaxTimelineEvents)
     state.timeline.events.pop_front();
   effects.push_back(LogEvent{std::move(event)});
 }
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -49,7 +49,7 @@
 
 struct Timeline {
   std::deque<TimelineEvent>
-      events;  ///< At most config::kTimelineEvents, oldest first.
+      events;  ///< At most config::kMaxTimelineEvents, oldest first.
   std::uint64_t next_sequence = 1;
 };
 
