--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -34,7 +34,7 @@
 
 /// Latest accounts of a coordinated zone's daemons, with when each was heard.
 struct ReceivedAccounts {
-  TimePoint heard;
+  TimePoint received;
   Incarnation incarnation;
   Version cache_revision;  ///< Store revision up to which the daemon knows
                            ///< everything.
--- a/src/core/membership/reports.cc
+++ b/src/core/membership/reports.cc
@@ -35,7 +35,7 @@
 void take_accounts(core::State& state, const Heartbeat& beat, Now now) {
   ReceivedAccounts& known = state.membership.accounts[beat.daemon];
   if (known.incarnation != beat.incarnation) known = ReceivedAccounts{};
-  known.heard = now.mono;
+  known.received = now.mono;
   known.incarnation = beat.incarnation;
   known.cache_revision = beat.cache_revision;
   if (!beat.accounts.empty()) known.accounts = beat.accounts;
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -32,23 +32,23 @@
 /// last heard.
 std::uint64_t in_flight(const core::State& state, const ServiceName& service) {
   std::uint64_t sum = 0;
-  for (const auto& [daemon, heard] : membership::received_accounts(state)) {
-    auto it = heard.accounts.find(service);
-    if (it != heard.accounts.end()) sum += it->second.counts.in_flight;
+  for (const auto& [daemon, received] : membership::received_accounts(state)) {
+    auto it = received.accounts.find(service);
+    if (it != received.accounts.end()) sum += it->second.counts.in_flight;
   }
   return sum;
 }
 
 bool all_heard_lately(const core::State& state, Now now) {
-  const auto& heard = membership::received_accounts(state);
-  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
-    return now.mono - entry.second.heard < config::kDaemonLostAfter;
+  const auto& received = membership::received_accounts(state);
+  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
+    return now.mono - entry.second.received < config::kDaemonLostAfter;
   });
 }
 
 bool all_know(const core::State& state, Version announced) {
-  const auto& heard = membership::received_accounts(state);
-  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
+  const auto& received = membership::received_accounts(state);
+  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
     return entry.second.cache_revision >= announced;
   });
 }
@@ -63,10 +63,10 @@
   part.in_flight_at = closing.in_flight_at;
   part.slots_owned = ownership::owned_units(state, closure.service, zone);
   part.accounts = accounts_of(state, closure.service, zone);
-  const auto& heard = membership::received_accounts(state);
+  const auto& received = membership::received_accounts(state);
   for (const DaemonAccount& account : part.accounts) {
-    auto it = heard.find(account.daemon);
-    if (it == heard.end() || it->second.incarnation != account.incarnation)
+    auto it = received.find(account.daemon);
+    if (it == received.end() || it->second.incarnation != account.incarnation)
       part.not_reported.push_back(account.daemon);
   }
   part.ownership = ownership::history(state, closure.service, zone);
