--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -135,7 +135,7 @@
 inline constexpr std::size_t kMaxQuarantineEntries = 1024;
 inline constexpr Duration kIntentRetention = minutes(10);
 inline constexpr Duration kIntentCommitInterval = milliseconds(5);
-inline constexpr std::size_t kIntentSegmentEntries = 512;
+inline constexpr std::size_t kMaxIntentSegmentEntries = 512;
 /// Outcomes of intents are written together, at most this often.
 inline constexpr Duration kIntentOutcomeInterval = milliseconds(200);
 /// A message to the ledger writer is sent again after this.
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -57,7 +57,7 @@
       decide(state, ledger, item, {.recorded = true}, effects);
     } else if (!same && !may_run) {
       decide(state, ledger, item, {.earlier = known->second.intent}, effects);
-    } else if (segment.intents.size() >= config::kIntentSegmentEntries) {
+    } else if (segment.intents.size() >= config::kMaxIntentSegmentEntries) {
       later.push_back(std::move(item));
     } else {
       ledger.index[key] = {.intent = item.intent,
@@ -96,7 +96,7 @@
   }
   judge_waiting(state, ledger, *segment, effects);
   if (ledger.committing.empty()) return;
-  segment->sealed = segment->intents.size() >= config::kIntentSegmentEntries;
+  segment->sealed = segment->intents.size() >= config::kMaxIntentSegmentEntries;
   ledger.last_commit = now.mono;
   write_segment(state, zone, ledger, *segment, now, effects);
 }
