--- a/src/core/ownership/front.cc
+++ b/src/core/ownership/front.cc
@@ -77,8 +77,8 @@
   return order;
 }
 
-void take_reply(Front& front, std::uint64_t sequence, const GrantReply& reply,
-                TimePoint now) {
+void apply_reply(Front& front, std::uint64_t sequence, const GrantReply& reply,
+                 TimePoint now) {
   if (sequence != front.sequence || !front.outstanding) return;
   front.outstanding = false;
   front.unreachable = std::holds_alternative<GrantUnreachable>(reply);
--- a/src/core/ownership/front.h
+++ b/src/core/ownership/front.h
@@ -100,8 +100,8 @@
                                      TimePoint now);
 
 /// Takes a reply to the order `sequence`.
-void take_reply(Front& front, std::uint64_t sequence, const GrantReply& reply,
-                TimePoint now);
+void apply_reply(Front& front, std::uint64_t sequence, const GrantReply& reply,
+                 TimePoint now);
 
 /// Whether the server has confirmed a grant whose term has not passed.
 bool grant_in_force(const Front& front, TimePoint now);
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -336,7 +336,7 @@
   Front& front = it->second;
   bool was_stale = front.stale;
   bool was_unreachable = front.unreachable;
-  take_reply(front, reply.sequence, reply.reply, now.mono);
+  apply_reply(front, reply.sequence, reply.reply, now.mono);
   if (!state.guards.fence) front.stale = false;
   if (front.unreachable) ++state.counters[Counter::kGrantUnreachable];
   if (front.unreachable && !was_unreachable) {
--- a/tests/grants_test.cc
+++ b/tests/grants_test.cc
@@ -26,13 +26,13 @@
   }
 
   void answer(const GrantOrder& order, int ms, std::uint64_t incarnation = 1) {
-    take_reply(front_, order.sequence,
-               GrantAnswer{.incarnation = Incarnation(incarnation),
-                           .front_epoch = front_.epoch,
-                           .sequence = order.sequence,
-                           .set_version = front_.set_version,
-                           .applied_set_version = front_.set_version},
-               at(ms));
+    apply_reply(front_, order.sequence,
+                GrantAnswer{.incarnation = Incarnation(incarnation),
+                            .front_epoch = front_.epoch,
+                            .sequence = order.sequence,
+                            .set_version = front_.set_version,
+                            .applied_set_version = front_.set_version},
+                at(ms));
   }
 
   void confirm() {
@@ -113,7 +113,7 @@
 TEST_F(GrantsTest, HigherFrontEpochStopsThisFront) {
   confirm();
   GrantOrder order = send(600);
-  take_reply(front_, order.sequence, GrantStale{FrontEpoch(5)}, at(601));
+  apply_reply(front_, order.sequence, GrantStale{FrontEpoch(5)}, at(601));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(602)));
   EXPECT_FALSE(
       next_order(front_, DaemonName("gongoni-1"), at(2000)).has_value());
