--- a/src/core/request/accounts.cc
+++ b/src/core/request/accounts.cc
@@ -13,7 +13,7 @@
 ServiceBook& book_of(core::State& state, const OpenRequest& request) {
   auto [it, inserted] = state.request.books.try_emplace(request.book);
   if (inserted)
-    it->second.retry_credit = config::kRetryBudgetStart * kRetryCost;
+    it->second.retry_credit = config::kInitialRetryBudget * kRetryCost;
   return it->second;
 }
 
--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -151,7 +151,7 @@
       effects = daemon.run(milliseconds(20));
     }
   }
-  EXPECT_LE(sends - kRequests, kRequests / 10 + config::kRetryBudgetStart);
+  EXPECT_LE(sends - kRequests, kRequests / 10 + config::kInitialRetryBudget);
   EXPECT_GE(sends - kRequests, kRequests / 10 - 1);
 }
 
