--- a/src/core/ownership/front.cc
+++ b/src/core/ownership/front.cc
@@ -113,7 +113,7 @@
   }
 }
 
-std::optional<TimePoint> latest_hold(const Front& front) {
+std::optional<TimePoint> latest_grant_expiry(const Front& front) {
   if (front.hold_until.has_value()) return front.hold_until;
   if (!front.predecessor_stopped.has_value()) return std::nullopt;
   return *front.predecessor_stopped + config::kGrantTerm + config::kLeaseMargin;
@@ -150,7 +150,7 @@
     // A request of an earlier front may run under the key's slot.
     return now >= *front.first_answer + execution_limit;
   }
-  std::optional<TimePoint> hold = latest_hold(front);
+  std::optional<TimePoint> hold = latest_grant_expiry(front);
   if (it != front.dropped.end() && it->second.hold_until.has_value())
     hold = it->second.hold_until;
   return hold.has_value() && now > *hold + execution_limit;
--- a/src/core/ownership/front.h
+++ b/src/core/ownership/front.h
@@ -111,7 +111,7 @@
 
 /// Instant after which no grant of this or an earlier front lets the server
 /// start work; not set while that cannot be known.
-std::optional<TimePoint> latest_hold(const Front& front);
+std::optional<TimePoint> latest_grant_expiry(const Front& front);
 
 /// Puts a unit into the set, or gives it a new epoch.
 void grant_unit(Front& front, const Unit& unit, Epoch epoch);
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -228,7 +228,7 @@
 bool is_silent(const core::State& state, const Front& front, Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
-  std::optional<TimePoint> hold = latest_hold(front);
+  std::optional<TimePoint> hold = latest_grant_expiry(front);
   return hold.has_value() && now.mono > *hold &&
          (front.unreachable || front.newest_answer == 0);
 }
@@ -386,7 +386,7 @@
 bool is_lapsed(const core::State& state, const Front& front, Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
-  std::optional<TimePoint> hold = latest_hold(front);
+  std::optional<TimePoint> hold = latest_grant_expiry(front);
   return hold.has_value() &&
          now.mono > *hold + execution_limit(state, front.server);
 }
--- a/tests/grants_test.cc
+++ b/tests/grants_test.cc
@@ -68,16 +68,16 @@
 
 TEST_F(GrantsTest, UnansweredRenewalMovesTheLatestHold) {
   confirm();
-  EXPECT_EQ(latest_hold(front_), at(5 + 2100));
+  EXPECT_EQ(latest_grant_expiry(front_), at(5 + 2100));
   send(600);
-  EXPECT_EQ(latest_hold(front_), at(10 + 2100));
+  EXPECT_EQ(latest_grant_expiry(front_), at(10 + 2100));
 }
 
 TEST_F(GrantsTest, ClockJumpProvesNoLapse) {
   confirm();
   send(600);
   discount_pause(front_, seconds(10));
-  EXPECT_EQ(latest_hold(front_), at(10 + 2100 + 10'000));
+  EXPECT_EQ(latest_grant_expiry(front_), at(10 + 2100 + 10'000));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(10'600)));
 }
 
@@ -121,9 +121,9 @@
 
 TEST_F(GrantsTest, LapseIsUnknownWhileAnEarlierFrontMayRenew) {
   send(0);
-  EXPECT_FALSE(latest_hold(front_).has_value());
+  EXPECT_FALSE(latest_grant_expiry(front_).has_value());
   front_.predecessor_stopped = at(100);
-  EXPECT_EQ(latest_hold(front_), at(100 + 2100));
+  EXPECT_EQ(latest_grant_expiry(front_), at(100 + 2100));
 }
 
 }  // namespace
