--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -117,7 +117,7 @@
 inline constexpr Duration kRetryDelay = milliseconds(50);
 /// Retries that a service's budget holds at the start and at most.
 inline constexpr std::uint32_t kInitialRetryBudget = 10;
-inline constexpr std::uint32_t kRetryBudgetMax = 100;
+inline constexpr std::uint32_t kMaxRetryBudget = 100;
 /// Requests that one entry holds while their keys have no usable owner.
 inline constexpr std::size_t kMaxHeldRequests = 4096;
 /// A forwarded request's deadline is this much before its entry's, so that the
--- a/src/core/request/accounts.cc
+++ b/src/core/request/accounts.cc
@@ -42,7 +42,7 @@
   ++book.counts.in_flight;
   book.retry_credit =
       std::min<std::uint64_t>(book.retry_credit + config::kRetryBudgetPercent,
-                              config::kRetryBudgetMax * kRetryCost);
+                              config::kMaxRetryBudget * kRetryCost);
 }
 
 void count_end(core::State& state, const OpenRequest& request, Outcome outcome,
