--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -156,7 +156,7 @@
 // Connections to backend servers.
 inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
 /// An idle connection younger than this counts as just shown to be alive.
-inline constexpr Duration kVerifiedConnectionAge = milliseconds(100);
+inline constexpr Duration kMaxOnceOnlyReuseAge = milliseconds(100);
 /// An idle connection older than this is replaced before use.
 inline constexpr Duration kReusableConnectionAge = seconds(2);
 
--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -176,7 +176,7 @@
     TimePoint now = steady_now();
     if (!idle_.empty()) {
       Duration age = now - idle_.back()->last_answer();
-      if (repeatable || age <= config::kVerifiedConnectionAge) {
+      if (repeatable || age <= config::kMaxOnceOnlyReuseAge) {
         std::shared_ptr<HttpConnection> connection = std::move(idle_.back());
         idle_.pop_back();
         return connection;
