--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -158,7 +158,7 @@
 /// An idle connection younger than this counts as just shown to be alive.
 inline constexpr Duration kMaxOnceOnlyReuseAge = milliseconds(100);
 /// An idle connection older than this is replaced before use.
-inline constexpr Duration kReusableConnectionAge = seconds(2);
+inline constexpr Duration kMaxConnectionReuseAge = seconds(2);
 
 // Streams between daemons.
 inline constexpr Duration kPingInterval = milliseconds(500);
--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -148,7 +148,7 @@
     TimePoint now = steady_now();
     std::erase_if(idle_, [&](const auto& connection) {
       bool old =
-          now - connection->last_answer() > config::kReusableConnectionAge;
+          now - connection->last_answer() > config::kMaxConnectionReuseAge;
       if (old) connection->close();
       return old || !connection->idle();
     });
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -303,7 +303,7 @@
     std::shared_ptr<HttpConnection> connection = std::move(idle.back());
     idle.pop_back();
     if (connection->idle() &&
-        now - connection->last_answer() < config::kReusableConnectionAge) {
+        now - connection->last_answer() < config::kMaxConnectionReuseAge) {
       return connection;
     }
     connection->close();
