--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -70,7 +70,7 @@
   std::uint64_t round = 0;      ///< Echoed by the coordinator.
   Version cache_revision;       ///< Highest store revision seen without a gap.
   bool stopping = false;        ///< Give its roles to others.
-  bool hears_store = false;
+  bool reaches_store = false;
   /// Lost members of its roster; it answers none of them any more.
   std::vector<DaemonName> silent;
   std::vector<FrontReport> fronts;
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -117,7 +117,7 @@
   a("round", v.round);
   a("cache_revision", v.cache_revision);
   a("stopping", v.stopping);
-  a("hears_store", v.hears_store);
+  a("hears_store", v.reaches_store);
   a("silent", v.silent);
   a("fronts", v.fronts);
   a("accounts", v.accounts);
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -64,7 +64,7 @@
                  .round = state.membership.round,
                  .cache_revision = state.membership.revision,
                  .stopping = state.stopping,
-                 .hears_store = hears_store(state, now),
+                 .reaches_store = reaches_store(state, now),
                  .silent = silent_members(state),
                  .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -93,7 +93,7 @@
   next = std::min(next, earliest);
 }
 
-bool hears_store(const core::State& state, Now now) {
+bool reaches_store(const core::State& state, Now now) {
   const StoreSync& sync = state.membership.sync;
   return sync.heard && now.mono - *sync.heard <= config::kStoreUnreachableAfter;
 }
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -49,7 +49,7 @@
 void report_soon(core::State& state, Now now);
 
 /// Whether the store has answered lately.
-bool hears_store(const core::State& state, Now now);
+bool reaches_store(const core::State& state, Now now);
 /// False once this front hears neither the store nor any other daemon of its
 /// roster for config::kIsolatedFrontTimeout.
 bool may_renew_grants(const core::State& state, Now now);
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -294,7 +294,7 @@
       now.mono - state.ownership.last_step > config::kIsolatedFrontTimeout;
   bool lone = !membership::may_renew_grants(state, now);
   state.ownership.last_step = now.mono;
-  if (membership::hears_store(state, now))
+  if (membership::reaches_store(state, now))
     state.ownership.store_heard = now.mono;
   if (!paused && !lone) return;
   for (auto& [server, front] : state.ownership.fronts) {
