--- a/include/eelgrasspin/request.h
+++ b/include/eelgrasspin/request.h
@@ -57,7 +57,7 @@
 /// Sent, and no whole answer was seen.
 struct AttemptUnknown {
   Reason reason = Reason::kNone;
-  bool connection_died =
+  bool connection_closed =
       false;  ///< The server closed or reset the connection while it worked.
 };
 
--- a/src/core/request/entry.cc
+++ b/src/core/request/entry.cc
@@ -96,7 +96,7 @@
                 Now now) {
   return request.from_caller &&
          request.execution_class != ExecutionClass::kAtMostOnce &&
-         request.attempts < config::kMaxAttempts && !result.connection_died &&
+         request.attempts < config::kMaxAttempts && !result.connection_closed &&
          result.reason != Reason::kServerFailed &&
          result.reason != Reason::kTimeoutAfterSend &&
          now.mono < request.deadline;
@@ -193,9 +193,9 @@
     hold(state, request, now.mono);
     return;
   }
-  Reason reason = result.connection_died ? Reason::kServerFailed
-                  : repeatable           ? Reason::kRetryBudgetSpent
-                                         : result.reason;
+  Reason reason = result.connection_closed ? Reason::kServerFailed
+                  : repeatable             ? Reason::kRetryBudgetSpent
+                                           : result.reason;
   end_refused(state, request, {.outcome = Outcome::kUnknown, .reason = reason},
               now, effects);
 }
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -229,7 +229,7 @@
   if (std::holds_alternative<AttemptAnswered>(result)) {
     clear_suspicion(state, request, now);
   } else if (const auto* unknown = std::get_if<AttemptUnknown>(&result)) {
-    if (unknown->connection_died) add_strike(state, request, now);
+    if (unknown->connection_closed) add_strike(state, request, now);
   }
 }
 
--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -33,8 +33,8 @@
   return {AttemptNotRun{reason, retry_after, Epoch()}, nullptr};
 }
 
-AttemptReply unknown(Reason reason, bool connection_died = false) {
-  return {AttemptUnknown{reason, connection_died}, nullptr};
+AttemptReply unknown(Reason reason, bool connection_closed = false) {
+  return {AttemptUnknown{reason, connection_closed}, nullptr};
 }
 
 Duration retry_after(const HttpResponse& answer) {
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -160,7 +160,7 @@
   ASSERT_TRUE(run_until(io_, [&] { return replies_.count(attempt) == 1; }));
   auto unknown = std::get<AttemptUnknown>(replies_[attempt].result);
   EXPECT_EQ(unknown.reason, Reason::kConnectionLost);
-  EXPECT_TRUE(unknown.connection_died);
+  EXPECT_TRUE(unknown.connection_closed);
 }
 
 TEST_F(BackendCallsTest, TimeoutIsUnknownAndItsConnectionIsNotReused) {
@@ -206,7 +206,7 @@
   AttemptReply first = run(request());
   EXPECT_EQ(std::get<AttemptUnknown>(first.result).reason,
             Reason::kConnectionLost);
-  EXPECT_FALSE(std::get<AttemptUnknown>(first.result).connection_died);
+  EXPECT_FALSE(std::get<AttemptUnknown>(first.result).connection_closed);
   AttemptReply second = run(request());
   EXPECT_TRUE(std::holds_alternative<AttemptAnswered>(second.result));
 }
--- a/tests/transport_h2_test.cc
+++ b/tests/transport_h2_test.cc
@@ -132,7 +132,7 @@
   front_->close();
   auto unknown = std::get<AttemptUnknown>(wait_reply(attempt));
   EXPECT_EQ(unknown.reason, Reason::kConnectionLost);
-  EXPECT_FALSE(unknown.connection_died);
+  EXPECT_FALSE(unknown.connection_closed);
 }
 
 TEST_F(TransportTest, NoConnectionIsNotRun) {
