--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -278,7 +278,7 @@
   return json::serialize(heartbeat_object(heartbeat));
 }
 
-std::string encode_bundle(const fleet::HeartbeatBatch& bundle) {
+std::string encode_heartbeat_batch(const fleet::HeartbeatBatch& bundle) {
   json::array heartbeats;
   for (const fleet::Heartbeat& heartbeat : bundle.heartbeats) {
     heartbeats.push_back(heartbeat_object(heartbeat));
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -156,7 +156,7 @@
             send_datagrams(codec::encode_heartbeat(e.heartbeat), e.to);
           },
           [this](const fleet::SendHeartbeatBatch& e) {
-            send_datagrams(codec::encode_bundle(e.bundle), e.to);
+            send_datagrams(codec::encode_heartbeat_batch(e.bundle), e.to);
           },
           [this](const fleet::SendMapChange& e) {
             send_datagrams(codec::encode_map_change(e.change), e.to);
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -96,7 +96,7 @@
   heartbeat.view =
       fleet::Heartbeat::View{Version(3), Version(4), milliseconds(250)};
   bundle.heartbeats = {heartbeat, heartbeat};
-  auto decoded = decode_datagram(encode_bundle(bundle));
+  auto decoded = decode_datagram(encode_heartbeat_batch(bundle));
   ASSERT_TRUE(ok(decoded));
   const auto& read = std::get<fleet::HeartbeatBatch>(value(decoded));
   EXPECT_TRUE(read.relay);
