--- a/include/eelgrasspin/caller.h
+++ b/include/eelgrasspin/caller.h
@@ -10,9 +10,9 @@
 
 /// Takes the one end of a request back to whoever sent it: a caller, or the
 /// daemon that forwarded it.
-class CallerSide {
+class ReplySender {
  public:
-  virtual ~CallerSide() = default;
+  virtual ~ReplySender() = default;
   virtual void answer(RequestId request, std::uint16_t status,
                       std::shared_ptr<const Payload> payload) = 0;
   virtual void refuse(RequestId request, Outcome outcome, Reason reason,
--- a/src/io/held_requests.h
+++ b/src/io/held_requests.h
@@ -32,7 +32,7 @@
 };
 
 /// Requests of one daemon that have not ended.
-class HeldRequests : public CallerSide {
+class HeldRequests : public ReplySender {
  public:
   RequestId add(HeldRequest request);
   HeldRequest* find(RequestId request);
