--- a/include/eelgrasspin/caller.h
+++ b/include/eelgrasspin/reply_sender.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_CALLER_H_
-#define EELGRASSPIN_CALLER_H_
+#ifndef EELGRASSPIN_REPLY_SENDER_H_
+#define EELGRASSPIN_REPLY_SENDER_H_
 
 #include <memory>
 
@@ -21,4 +21,4 @@
 
 }  // namespace eelgrasspin
 
-#endif  // EELGRASSPIN_CALLER_H_
+#endif  // EELGRASSPIN_REPLY_SENDER_H_
--- a/src/io/held_requests.h
+++ b/src/io/held_requests.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <optional>
 
-#include "eelgrasspin/caller.h"
+#include "eelgrasspin/reply_sender.h"
 #include "eelgrasspin/request.h"
 #include "eelgrasspin/transport.h"
 #include "eelgrasspin/units.h"
