--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -264,12 +264,12 @@
 }
 
 fleet::HeartbeatBatch bundle_of(const json::object& object) {
-  fleet::HeartbeatBatch bundle;
-  bundle.relay = object.if_contains("relay") != nullptr;
+  fleet::HeartbeatBatch batch;
+  batch.relay = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
-    bundle.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
+    batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
   }
-  return bundle;
+  return batch;
 }
 
 }  // namespace
@@ -278,13 +278,13 @@
   return json::serialize(heartbeat_object(heartbeat));
 }
 
-std::string encode_heartbeat_batch(const fleet::HeartbeatBatch& bundle) {
+std::string encode_heartbeat_batch(const fleet::HeartbeatBatch& batch) {
   json::array heartbeats;
-  for (const fleet::Heartbeat& heartbeat : bundle.heartbeats) {
+  for (const fleet::Heartbeat& heartbeat : batch.heartbeats) {
     heartbeats.push_back(heartbeat_object(heartbeat));
   }
   json::object object = {{"heartbeats", std::move(heartbeats)}};
-  if (bundle.relay) object["relay"] = true;
+  if (batch.relay) object["relay"] = true;
   return json::serialize(object);
 }
 
--- a/src/codec/fleet_json.h
+++ b/src/codec/fleet_json.h
@@ -15,7 +15,7 @@
                                    fleet::MapChange, fleet::StoreUpdate>;
 
 std::string encode_heartbeat(const fleet::Heartbeat& heartbeat);
-std::string encode_heartbeat_batch(const fleet::HeartbeatBatch& bundle);
+std::string encode_heartbeat_batch(const fleet::HeartbeatBatch& batch);
 std::string encode_store_update(const fleet::StoreUpdate& update);
 std::string encode_map_change(const fleet::MapChange& change);
 Result<DaemonMessage> decode_datagram(std::string_view text);
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -40,7 +40,7 @@
   std::vector<Endpoint> to;
 };
 struct SendHeartbeatBatch {
-  HeartbeatBatch bundle;
+  HeartbeatBatch batch;
   std::vector<Endpoint> to;
 };
 struct SendMapChange {
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -64,7 +64,7 @@
 };
 
 struct HeartbeatBatchReceived {
-  HeartbeatBatch bundle;
+  HeartbeatBatch batch;
 };
 
 /// Changes of the store that the zone's relay has seen.
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -46,9 +46,9 @@
 }
 
 HeartbeatBatch own_bundle(State& state, bool far, TimePoint now) {
-  HeartbeatBatch bundle;
-  bundle.relay = true;
-  bundle.heartbeats.push_back(own_heartbeat(state, now, far));
+  HeartbeatBatch batch;
+  batch.relay = true;
+  batch.heartbeats.push_back(own_heartbeat(state, now, far));
   bool full = ++state.fleet.bundles % config::kFullHeartbeats == 1;
   for (const auto& [name, peer] : state.fleet.heard) {
     auto known = state.fleet.known.find(name);
@@ -70,9 +70,9 @@
                !concerns_far(state, server->second);
       });
     }
-    bundle.heartbeats.push_back(std::move(heartbeat));
+    batch.heartbeats.push_back(std::move(heartbeat));
   }
-  return bundle;
+  return batch;
 }
 
 void send_bundle(State& state, bool far, TimePoint now, Effects& effects) {
@@ -196,14 +196,14 @@
 void on_bundle(State& state, const HeartbeatBatchReceived& received,
                TimePoint now, Effects& effects) {
   bool news = false;
-  for (const Heartbeat& heartbeat : received.bundle.heartbeats) {
+  for (const Heartbeat& heartbeat : received.batch.heartbeats) {
     news = accept_heartbeat(state, heartbeat, now, effects) || news;
   }
   if (!news) return;
-  if (received.bundle.relay) {
+  if (received.batch.relay) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
-      HeartbeatBatch copy = received.bundle;
+      HeartbeatBatch copy = received.batch;
       copy.relay = false;
       effects.emplace_back(SendHeartbeatBatch{std::move(copy), std::move(to)});
     }
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -156,7 +156,7 @@
             send_datagrams(codec::encode_heartbeat(e.heartbeat), e.to);
           },
           [this](const fleet::SendHeartbeatBatch& e) {
-            send_datagrams(codec::encode_heartbeat_batch(e.bundle), e.to);
+            send_datagrams(codec::encode_heartbeat_batch(e.batch), e.to);
           },
           [this](const fleet::SendMapChange& e) {
             send_datagrams(codec::encode_map_change(e.change), e.to);
@@ -296,8 +296,8 @@
       Overloaded{[this](fleet::Heartbeat& heartbeat) {
                    apply(fleet::HeartbeatReceived{std::move(heartbeat)});
                  },
-                 [this](fleet::HeartbeatBatch& bundle) {
-                   apply(fleet::HeartbeatBatchReceived{std::move(bundle)});
+                 [this](fleet::HeartbeatBatch& batch) {
+                   apply(fleet::HeartbeatBatchReceived{std::move(batch)});
                  },
                  [this](fleet::StoreUpdate& update) {
                    apply(fleet::StoreUpdateReceived{std::move(update)});
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -87,16 +87,16 @@
 }
 
 TEST(FleetMessages, BundlesKeepAgesAndViews) {
-  fleet::HeartbeatBatch bundle;
-  bundle.relay = true;
+  fleet::HeartbeatBatch batch;
+  batch.relay = true;
   fleet::Heartbeat heartbeat;
   heartbeat.daemon = {DaemonName("d1"), Incarnation(5),         ZoneName("z"),
                       RegionName("r"),  Endpoint("10.0.0.1:7"), 500};
   heartbeat.age = milliseconds(120);
   heartbeat.view =
       fleet::Heartbeat::View{Version(3), Version(4), milliseconds(250)};
-  bundle.heartbeats = {heartbeat, heartbeat};
-  auto decoded = decode_datagram(encode_heartbeat_batch(bundle));
+  batch.heartbeats = {heartbeat, heartbeat};
+  auto decoded = decode_datagram(encode_heartbeat_batch(batch));
   ASSERT_TRUE(ok(decoded));
   const auto& read = std::get<fleet::HeartbeatBatch>(value(decoded));
   EXPECT_TRUE(read.relay);
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -275,7 +275,7 @@
                      broadcast(daemon, e.to, HeartbeatReceived{e.heartbeat});
                    },
                    [&](const SendHeartbeatBatch& e) {
-                     broadcast(daemon, e.to, HeartbeatBatchReceived{e.bundle});
+                     broadcast(daemon, e.to, HeartbeatBatchReceived{e.batch});
                    },
                    [&](const SendMapChange& e) {
                      for (std::size_t i = 0; i < daemons_.size(); ++i) {
