--- a/include/eelgrasspin/grant.h
+++ b/include/eelgrasspin/grant.h
@@ -45,7 +45,7 @@
 
 /// The server obeys a front of a higher epoch.
 struct GrantStale {
-  FrontEpoch highest;
+  FrontEpoch highest_epoch;
 };
 
 /// No answer was received: refused, timed out or broken.
--- a/src/core/ownership/front.cc
+++ b/src/core/ownership/front.cc
@@ -86,7 +86,7 @@
   if (answer != nullptr && answer->front_epoch == front.epoch)
     take_answer(front, *answer, now);
   if (const auto* stale = std::get_if<GrantStale>(&reply))
-    front.stale = stale->highest > front.epoch;
+    front.stale = stale->highest_epoch > front.epoch;
 }
 
 bool grant_in_force(const Front& front, TimePoint now) {
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -104,7 +104,7 @@
   bool frozen = false;
   std::uint64_t incarnation = 1;
   Duration work = milliseconds(5);
-  FrontEpoch highest;
+  FrontEpoch highest_epoch;
   std::map<std::uint64_t, Duration>
       answers;  ///< Sequence -> when the answer was sent.
   Duration expires{-1};
--- a/src/scenario/world_server.cc
+++ b/src/scenario/world_server.cc
@@ -39,10 +39,10 @@
 
 GrantReply obey(World& world, Server& server, const core::SendGrant& effect) {
   const GrantOrder& order = effect.order;
-  if (order.front_epoch < server.highest && world.servers_fence)
-    return GrantStale{server.highest};
-  if (order.front_epoch != server.highest) {
-    server.highest = std::max(server.highest, order.front_epoch);
+  if (order.front_epoch < server.highest_epoch && world.servers_fence)
+    return GrantStale{server.highest_epoch};
+  if (order.front_epoch != server.highest_epoch) {
+    server.highest_epoch = std::max(server.highest_epoch, order.front_epoch);
     server.answers.clear();
     server.set_version = 0;
     server.applied_set_version = 0;
@@ -69,7 +69,8 @@
 bool granted(const World& world, const Server& server,
              const core::SendToServer& effect) {
   if (!server.declaration.checks_grants) return true;
-  if (effect.front_epoch < server.highest && world.servers_fence) return false;
+  if (effect.front_epoch < server.highest_epoch && world.servers_fence)
+    return false;
   if (world.now >= server.expires) return false;
   return server.granted.contains({effect.slot, Key(), effect.epoch}) ||
          server.granted.contains({effect.slot, effect.key, effect.epoch});
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -109,7 +109,7 @@
 TEST_F(BackendCallsTest, LowerFrontEpochIsStale) {
   grant(FrontEpoch(5));
   GrantReply reply = order({.front_epoch = FrontEpoch(4), .sequence = 1});
-  EXPECT_EQ(std::get<GrantStale>(reply).highest, FrontEpoch(5));
+  EXPECT_EQ(std::get<GrantStale>(reply).highest_epoch, FrontEpoch(5));
   EXPECT_EQ(not_run_reason(run(request())), Reason::kGrantRefused);
 }
 
--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -43,7 +43,7 @@
   order.order.slots = {{SlotId(3), Key(), Epoch(1)}};
   execute(world, front, order);
   run_for(world, milliseconds(10));
-  EXPECT_EQ(world.servers.at(server).highest, FrontEpoch(2));
+  EXPECT_EQ(world.servers.at(server).highest_epoch, FrontEpoch(2));
   EXPECT_LT(world.servers.at(server).expires, world.now)
       << "an order without an echo grants nothing";
   order.order.sequence = 2;
