--- a/include/eelgrasspin/object_store.h
+++ b/include/eelgrasspin/object_store.h
@@ -30,7 +30,7 @@
 /// No answer. Attention: a write may have taken effect, or may still take
 /// effect later.
 struct StoreUnavailable {
-  std::string why;
+  std::string reason;
 };
 
 using StoreResult =
--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -350,7 +350,7 @@
 
 /// A value that this version cannot read. The last readable one stays in force.
 struct DamagedRecord {
-  std::string why;
+  std::string reason;
 
   bool operator==(const DamagedRecord&) const = default;
 };
--- a/src/codec/record_fields_p.h
+++ b/src/codec/record_fields_p.h
@@ -254,7 +254,7 @@
 
 template <class A>
 void fields(A& a, Like<A, DamagedRecord>& v) {
-  a("why", v.why);
+  a("why", v.reason);
 }
 
 /// Any record but monostate, with its type and format.
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -18,8 +18,8 @@
   bool lately = sync.heard && now.mono - *sync.heard < config::kStoreTimeout;
   if (sync.down || lately) return;
   sync.down = true;
-  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.why}, now,
-         effects);
+  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.reason},
+         now, effects);
 }
 
 void note_answer(core::State& state, const StoreAnswered& answer, Now now,
@@ -261,7 +261,7 @@
   ++state.counters[Counter::kDamagedRecords];
   record(state,
          {.kind = TimelineKind::kDamagedRecord,
-          .cause = std::get<DamagedRecord>(entry.record).why,
+          .cause = std::get<DamagedRecord>(entry.record).reason,
           .detail = entry.key.str()},
          now, effects);
   return applied;
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -265,7 +265,7 @@
 std::string why_damaged(const StoreKey& key, const std::string& text) {
   Record record = decode_record(key, text);
   auto* damaged = std::get_if<DamagedRecord>(&record);
-  return damaged == nullptr ? "" : damaged->why;
+  return damaged == nullptr ? "" : damaged->reason;
 }
 
 TEST(Codec, SaysWhyARecordIsDamaged) {
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -223,7 +223,7 @@
   record.declarations.source = "[deployment\n";
   read = codec::decode_record(declarations_key(), codec::encode_record(record));
   ASSERT_TRUE(std::holds_alternative<DamagedRecord>(read));
-  EXPECT_EQ(std::get<DamagedRecord>(read).why,
+  EXPECT_EQ(std::get<DamagedRecord>(read).reason,
             "source: declarations: no [deployment] section (name and schema)");
 }
 
