--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -16,7 +16,7 @@
 #include "io/fleet_ports.h"
 #include "io/histogram.h"
 #include "io/http_server.h"
-#include "io/log_budget.h"
+#include "io/log_rate_limiter.h"
 #include "io/store_feed.h"
 
 namespace eelgrasspin::io {
--- a/src/io/log_budget.cc
+++ b/src/io/log_budget.cc
@@ -1,4 +1,4 @@
-#include "io/log_budget.h"
+#include "io/log_rate_limiter.h"
 
 namespace eelgrasspin::io {
 namespace {
--- a/src/io/log_budget.h
+++ b/src/io/log_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_IO_LOG_BUDGET_H_
-#define EELGRASSPIN_IO_LOG_BUDGET_H_
+#ifndef EELGRASSPIN_IO_LOG_RATE_LIMITER_H_
+#define EELGRASSPIN_IO_LOG_RATE_LIMITER_H_
 
 #include <cstdint>
 #include <map>
@@ -36,4 +36,4 @@
 
 }  // namespace eelgrasspin::io
 
-#endif  // EELGRASSPIN_IO_LOG_BUDGET_H_
+#endif  // EELGRASSPIN_IO_LOG_RATE_LIMITER_H_
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -8,7 +8,7 @@
 #include "io/endpoint.h"
 #include "io/http_client.h"
 #include "io/http_server.h"
-#include "io/log_budget.h"
+#include "io/log_rate_limiter.h"
 
 namespace eelgrasspin::io {
 namespace {
