--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -93,7 +93,7 @@
   TimePoint last_sweep_;
   Duration clock_gap_{0};  ///< Suspended time seen so far.
   bool closing_ = false;
-  LogBudget log_budget_;
+  LogRateLimiter log_budget_;
   std::map<std::string, std::uint64_t> events_;
   std::map<std::string, std::uint64_t> ends_;
   Histogram latency_;
--- a/src/io/log_rate_limiter.cc
+++ b/src/io/log_rate_limiter.cc
@@ -5,7 +5,7 @@
 constexpr Duration kWindow = seconds(1);
 }  // namespace
 
-bool LogBudget::take(std::string_view kind, TimePoint now) {
+bool LogRateLimiter::take(std::string_view kind, TimePoint now) {
   auto found = windows_.find(kind);
   if (found == windows_.end()) {
     found = windows_.emplace(std::string(kind), Window{now}).first;
@@ -23,7 +23,7 @@
   return true;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> LogBudget::left_out(
+std::vector<std::pair<std::string, std::uint64_t>> LogRateLimiter::left_out(
     TimePoint now) {
   std::vector<std::pair<std::string, std::uint64_t>> result;
   for (auto& [kind, window] : windows_) {
--- a/src/io/log_rate_limiter.h
+++ b/src/io/log_rate_limiter.h
@@ -13,9 +13,9 @@
 namespace eelgrasspin::io {
 
 /// Bounds the lines of each kind in each second.
-class LogBudget {
+class LogRateLimiter {
  public:
-  explicit LogBudget(std::uint32_t lines_per_second)
+  explicit LogRateLimiter(std::uint32_t lines_per_second)
       : lines_per_second_(lines_per_second) {}
 
   /// Whether a line of this kind may be written now.
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -204,8 +204,8 @@
   EXPECT_EQ(std::get<HttpResponse>(result).body, "mine");
 }
 
-TEST(LogBudget, BoundsEachKindInEachSecondAndCountsTheRest) {
-  LogBudget budget(2);
+TEST(LogRateLimiter, BoundsEachKindInEachSecondAndCountsTheRest) {
+  LogRateLimiter budget(2);
   TimePoint start{seconds(5)};
   EXPECT_TRUE(budget.take("a", start));
   EXPECT_TRUE(budget.take("a", start));
