--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -13,7 +13,7 @@
 namespace eelgrasspin::fixtures {
 
 inline const ServiceName kService("dispatchbook");
-inline const ZoneName kHere("gongoni");
+inline const ZoneName kOwnZone("gongoni");
 inline const ZoneName kThere("marereni");
 inline const ServerName kServerHere("dispatchbook-01");
 inline const ServerName kServerThere("dispatchbook-02");
@@ -25,7 +25,7 @@
 
 inline Declarations declarations() {
   Declarations all;
-  all.zones[kHere] = {kHere, RegionName("kilifi")};
+  all.zones[kOwnZone] = {kOwnZone, RegionName("kilifi")};
   all.zones[kThere] = {kThere, RegionName("kilifi")};
   ServiceDeclaration service{.name = kService, .key_slots = kSlots};
   service.deadline = milliseconds(1000);
@@ -38,7 +38,7 @@
   all.services[kService] = service;
   all.servers[kServerHere] = {.name = kServerHere,
                               .service = kService,
-                              .zone = kHere,
+                              .zone = kOwnZone,
                               .address = Endpoint("127.0.0.1:8001")};
   all.servers[kServerThere] = {.name = kServerThere,
                                .service = kService,
@@ -82,16 +82,16 @@
  public:
   Daemon() {
     state.self = {.name = kDaemonHere,
-                  .zone = kHere,
+                  .zone = kOwnZone,
                   .region = RegionName("kilifi"),
                   .address = kPortHere,
                   .seeds = {},
                   .incarnation = Incarnation(1)};
     put(declarations_key(), DeclarationsRecord{.declarations = declarations()});
     put_zone_map();
-    put_owner(kHere, kServerHere, 1);
+    put_owner(kOwnZone, kServerHere, 1);
     put_owner(kThere, kServerThere, 1);
-    put_front(kHere, kServerHere, kDaemonHere, kPortHere);
+    put_front(kOwnZone, kServerHere, kDaemonHere, kPortHere);
     put_front(kThere, kServerThere, kDaemonThere, kPortThere);
   }
 
@@ -125,7 +125,7 @@
   }
 
   void put_zone_map() {
-    ZoneMap map{.service = kService, .zones = {kHere, kThere}};
+    ZoneMap map{.service = kService, .zones = {kOwnZone, kThere}};
     for (std::uint32_t i = 0; i < kSlots; ++i) {
       map.slots.push_back(i < kSlots / 2 ? 0 : 1);
       map.epochs.push_back(1);
@@ -137,7 +137,7 @@
   void put_owner(const ZoneName& zone, const ServerName& server,
                  std::uint64_t epoch, SlotPhase phase = SlotPhase::kOwned) {
     OwnershipMap map{.service = kService, .zone = zone};
-    std::uint32_t first = zone == kHere ? 0 : kSlots / 2;
+    std::uint32_t first = zone == kOwnZone ? 0 : kSlots / 2;
     for (std::uint32_t i = first; i < first + kSlots / 2; ++i)
       map.slots[SlotId(i)] = {server, Epoch(epoch), phase, {}, {}};
     put(ownership_map_key(kService, zone), map);
