--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -14,7 +14,7 @@
 
 inline const ServiceName kService("dispatchbook");
 inline const ZoneName kOwnZone("gongoni");
-inline const ZoneName kThere("marereni");
+inline const ZoneName kOtherZone("marereni");
 inline const ServerName kServerHere("dispatchbook-01");
 inline const ServerName kServerThere("dispatchbook-02");
 inline const DaemonName kDaemonHere("gongoni-1");
@@ -26,7 +26,7 @@
 inline Declarations declarations() {
   Declarations all;
   all.zones[kOwnZone] = {kOwnZone, RegionName("kilifi")};
-  all.zones[kThere] = {kThere, RegionName("kilifi")};
+  all.zones[kOtherZone] = {kOtherZone, RegionName("kilifi")};
   ServiceDeclaration service{.name = kService, .key_slots = kSlots};
   service.deadline = milliseconds(1000);
   service.execution_limit = milliseconds(200);
@@ -42,7 +42,7 @@
                               .address = Endpoint("127.0.0.1:8001")};
   all.servers[kServerThere] = {.name = kServerThere,
                                .service = kService,
-                               .zone = kThere,
+                               .zone = kOtherZone,
                                .address = Endpoint("127.0.0.1:8002")};
   return all;
 }
@@ -90,9 +90,9 @@
     put(declarations_key(), DeclarationsRecord{.declarations = declarations()});
     put_zone_map();
     put_owner(kOwnZone, kServerHere, 1);
-    put_owner(kThere, kServerThere, 1);
+    put_owner(kOtherZone, kServerThere, 1);
     put_front(kOwnZone, kServerHere, kDaemonHere, kPortHere);
-    put_front(kThere, kServerThere, kDaemonThere, kPortThere);
+    put_front(kOtherZone, kServerThere, kDaemonThere, kPortThere);
   }
 
   core::Effects apply(const core::Event& event) {
@@ -125,7 +125,7 @@
   }
 
   void put_zone_map() {
-    ZoneMap map{.service = kService, .zones = {kOwnZone, kThere}};
+    ZoneMap map{.service = kService, .zones = {kOwnZone, kOtherZone}};
     for (std::uint32_t i = 0; i < kSlots; ++i) {
       map.slots.push_back(i < kSlots / 2 ? 0 : 1);
       map.epochs.push_back(1);
