--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -15,7 +15,7 @@
 inline const ServiceName kService("dispatchbook");
 inline const ZoneName kOwnZone("gongoni");
 inline const ZoneName kOtherZone("marereni");
-inline const ServerName kServerHere("dispatchbook-01");
+inline const ServerName kOwnServer("dispatchbook-01");
 inline const ServerName kServerThere("dispatchbook-02");
 inline const DaemonName kDaemonHere("gongoni-1");
 inline const DaemonName kDaemonThere("marereni-1");
@@ -36,10 +36,10 @@
       {"note", "PUT", "/dispatches/{key}/note", ExecutionClass::kIdempotent},
       {"lodge", "POST", "/dispatches/{key}", ExecutionClass::kAtMostOnce}};
   all.services[kService] = service;
-  all.servers[kServerHere] = {.name = kServerHere,
-                              .service = kService,
-                              .zone = kOwnZone,
-                              .address = Endpoint("127.0.0.1:8001")};
+  all.servers[kOwnServer] = {.name = kOwnServer,
+                             .service = kService,
+                             .zone = kOwnZone,
+                             .address = Endpoint("127.0.0.1:8001")};
   all.servers[kServerThere] = {.name = kServerThere,
                                .service = kService,
                                .zone = kOtherZone,
@@ -89,9 +89,9 @@
                   .incarnation = Incarnation(1)};
     put(declarations_key(), DeclarationsRecord{.declarations = declarations()});
     put_zone_map();
-    put_owner(kOwnZone, kServerHere, 1);
+    put_owner(kOwnZone, kOwnServer, 1);
     put_owner(kOtherZone, kServerThere, 1);
-    put_front(kOwnZone, kServerHere, kDaemonHere, kPortHere);
+    put_front(kOwnZone, kOwnServer, kDaemonHere, kPortHere);
     put_front(kOtherZone, kServerThere, kDaemonThere, kPortThere);
   }
 
