--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -16,7 +16,7 @@
 inline const ZoneName kOwnZone("gongoni");
 inline const ZoneName kOtherZone("marereni");
 inline const ServerName kOwnServer("dispatchbook-01");
-inline const ServerName kServerThere("dispatchbook-02");
+inline const ServerName kOtherServer("dispatchbook-02");
 inline const DaemonName kDaemonHere("gongoni-1");
 inline const DaemonName kDaemonThere("marereni-1");
 inline const Endpoint kPortHere("127.0.0.1:7001");
@@ -40,7 +40,7 @@
                              .service = kService,
                              .zone = kOwnZone,
                              .address = Endpoint("127.0.0.1:8001")};
-  all.servers[kServerThere] = {.name = kServerThere,
+  all.servers[kOtherServer] = {.name = kOtherServer,
                                .service = kService,
                                .zone = kOtherZone,
                                .address = Endpoint("127.0.0.1:8002")};
@@ -90,9 +90,9 @@
     put(declarations_key(), DeclarationsRecord{.declarations = declarations()});
     put_zone_map();
     put_owner(kOwnZone, kOwnServer, 1);
-    put_owner(kOtherZone, kServerThere, 1);
+    put_owner(kOtherZone, kOtherServer, 1);
     put_front(kOwnZone, kOwnServer, kDaemonHere, kPortHere);
-    put_front(kOtherZone, kServerThere, kDaemonThere, kPortThere);
+    put_front(kOtherZone, kOtherServer, kDaemonThere, kPortThere);
   }
 
   core::Effects apply(const core::Event& event) {
--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -16,9 +16,9 @@
 using fixtures::head;
 using fixtures::kDaemonThere;
 using fixtures::key_in;
+using fixtures::kOtherServer;
 using fixtures::kOtherZone;
 using fixtures::kPortThere;
-using fixtures::kServerThere;
 using fixtures::kService;
 using fixtures::only;
 
@@ -59,7 +59,7 @@
   Daemon daemon;
   SendToFront sent = forwarded(daemon.arrive(1, head("GET", kFarKey)));
   EXPECT_EQ(sent.front, kPortThere);
-  EXPECT_EQ(sent.server, kServerThere);
+  EXPECT_EQ(sent.server, kOtherServer);
   EXPECT_TRUE(sent.repeatable);
   EXPECT_LT(sent.time_left, milliseconds(1000));
   Effects ended = daemon.end(sent.request, sent.attempt, AttemptAnswered{});
@@ -106,7 +106,7 @@
   Effects ended = daemon.end(sent.request, sent.attempt,
                              AttemptNotRun{.reason = Reason::kMoved});
   EXPECT_TRUE(only<RefuseRequest>(ended).empty());
-  daemon.put_front(kOtherZone, kServerThere, DaemonName("marereni-2"),
+  daemon.put_front(kOtherZone, kOtherServer, DaemonName("marereni-2"),
                    Endpoint("127.0.0.1:7003"));
   SendToFront again = forwarded(daemon.run(milliseconds(20)));
   EXPECT_EQ(again.front, Endpoint("127.0.0.1:7003"));
@@ -131,7 +131,7 @@
   SendToFront again = forwarded(daemon.run(milliseconds(20)));
   daemon.end(again.request, again.attempt,
              AttemptNotRun{.reason = Reason::kOwnerUnreachable});
-  daemon.put_owner(kOtherZone, kServerThere, 2, SlotPhase::kMoving);
+  daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kMoving);
   RefuseRequest end = refused(daemon.run(seconds(2)));
   EXPECT_EQ(end.outcome, Outcome::kUnknown);
 }
@@ -157,13 +157,13 @@
 
 TEST(Entry, HoldsThroughAMoveAndRefusesAtTheDeadline) {
   Daemon daemon;
-  daemon.put_owner(kOtherZone, kServerThere, 2, SlotPhase::kMoving);
+  daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kMoving);
   EXPECT_TRUE(
       only<SendToFront>(daemon.arrive(1, head("GET", kFarKey))).empty());
   daemon.run(milliseconds(300));
-  daemon.put_owner(kOtherZone, kServerThere, 3);
+  daemon.put_owner(kOtherZone, kOtherServer, 3);
   EXPECT_EQ(forwarded(daemon.run(milliseconds(20))).epoch, Epoch(3));
-  daemon.put_owner(kOtherZone, kServerThere, 4, SlotPhase::kUnassigned);
+  daemon.put_owner(kOtherZone, kOtherServer, 4, SlotPhase::kUnassigned);
   daemon.arrive(2, head("GET", kFarKey));
   Effects effects = daemon.run(milliseconds(1100));
   std::vector<RefuseRequest> ends = only<RefuseRequest>(effects);
@@ -177,7 +177,7 @@
 
 TEST(Entry, BoundsHeldRequests) {
   Daemon daemon;
-  daemon.put_owner(kOtherZone, kServerThere, 2, SlotPhase::kUnassigned);
+  daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kUnassigned);
   std::size_t refusals = 0;
   for (std::uint64_t id = 1; id <= config::kMaxHeldRequests + 5; ++id)
     refusals +=
@@ -187,7 +187,7 @@
 
 TEST(Entry, RefusesAForwardedRequestThatIsNotForItsServers) {
   Daemon daemon;
-  ForwardedFrom from{kDaemonThere, kServerThere, SlotId(9), Epoch(1)};
+  ForwardedFrom from{kDaemonThere, kOtherServer, SlotId(9), Epoch(1)};
   RefuseRequest end = refused(daemon.arrive(1, head("GET", kFarKey), from));
   EXPECT_EQ(end.outcome, Outcome::kNotRun);
   EXPECT_EQ(end.reason, Reason::kMoved);
