--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -17,7 +17,7 @@
 inline const ZoneName kOtherZone("marereni");
 inline const ServerName kOwnServer("dispatchbook-01");
 inline const ServerName kOtherServer("dispatchbook-02");
-inline const DaemonName kDaemonHere("gongoni-1");
+inline const DaemonName kOwnDaemon("gongoni-1");
 inline const DaemonName kDaemonThere("marereni-1");
 inline const Endpoint kPortHere("127.0.0.1:7001");
 inline const Endpoint kPortThere("127.0.0.1:7002");
@@ -81,7 +81,7 @@
 class Daemon {
  public:
   Daemon() {
-    state.self = {.name = kDaemonHere,
+    state.self = {.name = kOwnDaemon,
                   .zone = kOwnZone,
                   .region = RegionName("kilifi"),
                   .address = kPortHere,
@@ -91,7 +91,7 @@
     put_zone_map();
     put_owner(kOwnZone, kOwnServer, 1);
     put_owner(kOtherZone, kOtherServer, 1);
-    put_front(kOwnZone, kOwnServer, kDaemonHere, kPortHere);
+    put_front(kOwnZone, kOwnServer, kOwnDaemon, kPortHere);
     put_front(kOtherZone, kOtherServer, kDaemonThere, kPortThere);
   }
 
