--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -14,8 +14,8 @@
 using core::SendToFront;
 using fixtures::Daemon;
 using fixtures::head;
-using fixtures::kDaemonThere;
 using fixtures::key_in;
+using fixtures::kOtherDaemon;
 using fixtures::kOtherServer;
 using fixtures::kOtherZone;
 using fixtures::kPortThere;
@@ -187,7 +187,7 @@
 
 TEST(Entry, RefusesAForwardedRequestThatIsNotForItsServers) {
   Daemon daemon;
-  ForwardedFrom from{kDaemonThere, kOtherServer, SlotId(9), Epoch(1)};
+  ForwardedFrom from{kOtherDaemon, kOtherServer, SlotId(9), Epoch(1)};
   RefuseRequest end = refused(daemon.arrive(1, head("GET", kFarKey), from));
   EXPECT_EQ(end.outcome, Outcome::kNotRun);
   EXPECT_EQ(end.reason, Reason::kMoved);
