--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -19,7 +19,7 @@
 inline const ServerName kOtherServer("dispatchbook-02");
 inline const DaemonName kOwnDaemon("gongoni-1");
 inline const DaemonName kOtherDaemon("marereni-1");
-inline const Endpoint kPortHere("127.0.0.1:7001");
+inline const Endpoint kOwnEndpoint("127.0.0.1:7001");
 inline const Endpoint kPortThere("127.0.0.1:7002");
 inline constexpr std::uint32_t kSlots = 16;
 
@@ -84,14 +84,14 @@
     state.self = {.name = kOwnDaemon,
                   .zone = kOwnZone,
                   .region = RegionName("kilifi"),
-                  .address = kPortHere,
+                  .address = kOwnEndpoint,
                   .seeds = {},
                   .incarnation = Incarnation(1)};
     put(declarations_key(), DeclarationsRecord{.declarations = declarations()});
     put_zone_map();
     put_owner(kOwnZone, kOwnServer, 1);
     put_owner(kOtherZone, kOtherServer, 1);
-    put_front(kOwnZone, kOwnServer, kOwnDaemon, kPortHere);
+    put_front(kOwnZone, kOwnServer, kOwnDaemon, kOwnEndpoint);
     put_front(kOtherZone, kOtherServer, kOtherDaemon, kPortThere);
   }
 
