--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -20,7 +20,7 @@
 inline const DaemonName kOwnDaemon("gongoni-1");
 inline const DaemonName kOtherDaemon("marereni-1");
 inline const Endpoint kOwnEndpoint("127.0.0.1:7001");
-inline const Endpoint kPortThere("127.0.0.1:7002");
+inline const Endpoint kOtherEndpoint("127.0.0.1:7002");
 inline constexpr std::uint32_t kSlots = 16;
 
 inline Declarations declarations() {
@@ -92,7 +92,7 @@
     put_owner(kOwnZone, kOwnServer, 1);
     put_owner(kOtherZone, kOtherServer, 1);
     put_front(kOwnZone, kOwnServer, kOwnDaemon, kOwnEndpoint);
-    put_front(kOtherZone, kOtherServer, kOtherDaemon, kPortThere);
+    put_front(kOtherZone, kOtherServer, kOtherDaemon, kOtherEndpoint);
   }
 
   core::Effects apply(const core::Event& event) {
--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -16,9 +16,9 @@
 using fixtures::head;
 using fixtures::key_in;
 using fixtures::kOtherDaemon;
+using fixtures::kOtherEndpoint;
 using fixtures::kOtherServer;
 using fixtures::kOtherZone;
-using fixtures::kPortThere;
 using fixtures::kService;
 using fixtures::only;
 
@@ -58,7 +58,7 @@
 TEST(Entry, ForwardsToTheFrontAndRelaysItsAnswer) {
   Daemon daemon;
   SendToFront sent = forwarded(daemon.arrive(1, head("GET", kFarKey)));
-  EXPECT_EQ(sent.front, kPortThere);
+  EXPECT_EQ(sent.front, kOtherEndpoint);
   EXPECT_EQ(sent.server, kOtherServer);
   EXPECT_TRUE(sent.repeatable);
   EXPECT_LT(sent.time_left, milliseconds(1000));
