--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -69,7 +69,7 @@
 
 /// Effects of one type, in order.
 template <class E>
-std::vector<E> only(const core::Effects& effects) {
+std::vector<E> effects_of(const core::Effects& effects) {
   std::vector<E> found;
   for (const core::Effect& effect : effects) {
     if (const auto* match = std::get_if<E>(&effect)) found.push_back(*match);
--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -13,6 +13,7 @@
 using core::RelayAnswer;
 using core::SendToFront;
 using fixtures::Daemon;
+using fixtures::effects_of;
 using fixtures::head;
 using fixtures::key_in;
 using fixtures::kOtherDaemon;
@@ -20,18 +21,17 @@
 using fixtures::kOtherServer;
 using fixtures::kOtherZone;
 using fixtures::kService;
-using fixtures::only;
 
 const Key kFarKey = key_in(false);
 
 RefuseRequest refused(const Effects& effects) {
-  auto found = only<RefuseRequest>(effects);
+  auto found = effects_of<RefuseRequest>(effects);
   EXPECT_EQ(found.size(), 1U);
   return found.empty() ? RefuseRequest{} : found[0];
 }
 
 SendToFront forwarded(const Effects& effects) {
-  auto found = only<SendToFront>(effects);
+  auto found = effects_of<SendToFront>(effects);
   EXPECT_EQ(found.size(), 1U);
   return found.empty() ? SendToFront{} : found[0];
 }
@@ -63,9 +63,9 @@
   EXPECT_TRUE(sent.repeatable);
   EXPECT_LT(sent.time_left, milliseconds(1000));
   Effects ended = daemon.end(sent.request, sent.attempt, AttemptAnswered{});
-  EXPECT_EQ(only<RelayAnswer>(ended).size(), 1U);
+  EXPECT_EQ(effects_of<RelayAnswer>(ended).size(), 1U);
   Effects late = daemon.end(sent.request, sent.attempt, AttemptAnswered{});
-  EXPECT_TRUE(only<RelayAnswer>(late).empty());
+  EXPECT_TRUE(effects_of<RelayAnswer>(late).empty());
   EXPECT_EQ(core::request::open_requests(daemon.state), 0U);
 }
 
@@ -105,7 +105,7 @@
   EXPECT_FALSE(sent.repeatable);
   Effects ended = daemon.end(sent.request, sent.attempt,
                              AttemptNotRun{.reason = Reason::kMoved});
-  EXPECT_TRUE(only<RefuseRequest>(ended).empty());
+  EXPECT_TRUE(effects_of<RefuseRequest>(ended).empty());
   daemon.put_front(kOtherZone, kOtherServer, DaemonName("marereni-2"),
                    Endpoint("127.0.0.1:7003"));
   SendToFront again = forwarded(daemon.run(milliseconds(20)));
@@ -120,7 +120,7 @@
       refused(daemon.end(sent.request, sent.attempt,
                          AttemptUnknown{.reason = Reason::kConnectionLost}));
   EXPECT_EQ(end.outcome, Outcome::kUnknown);
-  EXPECT_TRUE(only<SendToFront>(daemon.run(seconds(2))).empty());
+  EXPECT_TRUE(effects_of<SendToFront>(daemon.run(seconds(2))).empty());
 }
 
 TEST(Entry, ReadsGoAgainAndAreNeverToldNotRunAfterwards) {
@@ -143,7 +143,7 @@
   for (std::uint64_t id = 1; id <= kRequests; ++id) {
     Effects effects = daemon.arrive(id, head("GET", kFarKey));
     for (int turn = 0; turn < 5; ++turn) {
-      for (const SendToFront& sent : only<SendToFront>(effects)) {
+      for (const SendToFront& sent : effects_of<SendToFront>(effects)) {
         ++sends;
         daemon.end(sent.request, sent.attempt,
                    AttemptUnknown{.reason = Reason::kConnectionLost});
@@ -159,20 +159,20 @@
   Daemon daemon;
   daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kMoving);
   EXPECT_TRUE(
-      only<SendToFront>(daemon.arrive(1, head("GET", kFarKey))).empty());
+      effects_of<SendToFront>(daemon.arrive(1, head("GET", kFarKey))).empty());
   daemon.run(milliseconds(300));
   daemon.put_owner(kOtherZone, kOtherServer, 3);
   EXPECT_EQ(forwarded(daemon.run(milliseconds(20))).epoch, Epoch(3));
   daemon.put_owner(kOtherZone, kOtherServer, 4, SlotPhase::kUnassigned);
   daemon.arrive(2, head("GET", kFarKey));
   Effects effects = daemon.run(milliseconds(1100));
-  std::vector<RefuseRequest> ends = only<RefuseRequest>(effects);
+  std::vector<RefuseRequest> ends = effects_of<RefuseRequest>(effects);
   ASSERT_EQ(ends.size(), 2U);
   EXPECT_EQ(ends[0].reason, Reason::kTimeoutAfterSend);
   EXPECT_EQ(ends[0].outcome, Outcome::kUnknown);
   EXPECT_EQ(ends[1].reason, Reason::kNoOwner);
   EXPECT_EQ(ends[1].outcome, Outcome::kNotRun);
-  EXPECT_EQ(only<CancelAttempt>(effects).size(), 1U);
+  EXPECT_EQ(effects_of<CancelAttempt>(effects).size(), 1U);
 }
 
 TEST(Entry, BoundsHeldRequests) {
@@ -181,7 +181,8 @@
   std::size_t refusals = 0;
   for (std::uint64_t id = 1; id <= config::kMaxHeldRequests + 5; ++id)
     refusals +=
-        only<RefuseRequest>(daemon.arrive(id, head("GET", kFarKey))).size();
+        effects_of<RefuseRequest>(daemon.arrive(id, head("GET", kFarKey)))
+            .size();
   EXPECT_EQ(refusals, 5U);
 }
 
