--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -72,7 +72,7 @@
   bool stopping = false;        ///< Give its roles to others.
   bool reaches_store = false;
   /// Lost members of its roster; it answers none of them any more.
-  std::vector<DaemonName> silent;
+  std::vector<DaemonName> ignored_members;
   std::vector<FrontReport> fronts;
   std::map<ServiceName, DaemonAccount> accounts;
 
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -118,7 +118,7 @@
   a("cache_revision", v.cache_revision);
   a("stopping", v.stopping);
   a("hears_store", v.reaches_store);
-  a("silent", v.silent);
+  a("silent", v.ignored_members);
   a("fronts", v.fronts);
   a("accounts", v.accounts);
 }
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -35,11 +35,12 @@
 
 /// Lost members this daemon answers no more.
 std::vector<DaemonName> silent_members(const core::State& state) {
-  std::vector<DaemonName> silent;
+  std::vector<DaemonName> ignored_members;
   const ZoneRoster* own = roster(state.cache, state.self.zone);
-  if (own == nullptr) return silent;
-  for (const RosterMember& member : own->lost) silent.push_back(member.daemon);
-  return silent;
+  if (own == nullptr) return ignored_members;
+  for (const RosterMember& member : own->lost)
+    ignored_members.push_back(member.daemon);
+  return ignored_members;
 }
 
 /// A closure waits for fresh accounts.
@@ -65,7 +66,7 @@
                  .cache_revision = state.membership.revision,
                  .stopping = state.stopping,
                  .reaches_store = reaches_store(state, now),
-                 .silent = silent_members(state),
+                 .ignored_members = silent_members(state),
                  .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
   bool due = now.mono >= next_accounts || state.stopping;
--- a/src/core/membership/lost_members.cc
+++ b/src/core/membership/lost_members.cc
@@ -20,9 +20,10 @@
   for (const auto& [name, other] : state.membership.peers) {
     if (!other.heartbeat || other.heartbeat->cache_revision < loss.version)
       continue;
-    const std::vector<DaemonName>& silent = other.heartbeat->silent;
-    bool promises =
-        std::find(silent.begin(), silent.end(), lost) != silent.end();
+    const std::vector<DaemonName>& ignored_members =
+        other.heartbeat->ignored_members;
+    bool promises = std::find(ignored_members.begin(), ignored_members.end(),
+                              lost) != ignored_members.end();
     if (promises) loss.promised.emplace(name, now.mono);
   }
 }
