--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -52,8 +52,8 @@
   std::vector<std::pair<SlotId, double>>
       slot_rates;                ///< The busiest slots, requests per second.
   std::vector<HotKey> hot_keys;  ///< The busiest keys.
-  bool silent = false;  ///< No grant lets the server start work any more; what
-                        ///< it had begun may still run.
+  bool grant_expired = false;    ///< No grant lets the server start work any
+                               ///< more; what it had begun may still run.
   Version map_version;  ///< Ownership map that the front acts on; `lapsed` and
                         ///< `released` hold for units that are not owned in it.
 
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -103,7 +103,7 @@
   a("running", v.running);
   a("slot_rates", v.slot_rates);
   a("hot_keys", v.hot_keys);
-  a("silent", v.silent);
+  a("silent", v.grant_expired);
   a("map_version", v.map_version);
 }
 
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -234,7 +234,7 @@
   for (const auto& [server, owned] : edit.index.owned) {
     auto it = edit.servers.find(server);
     bool lost = it != edit.servers.end() &&
-                (is_silent(it->second) || is_gone(it->second));
+                (is_grant_expired(it->second) || is_gone(it->second));
     bool leaving = it == edit.servers.end() || is_leaving(it->second);
     if (!lost && !leaving) continue;
     std::string cause = lost ? "server lost" : "server leaving";
--- a/src/core/ownership/front.h
+++ b/src/core/ownership/front.h
@@ -81,7 +81,7 @@
   /// What the coordinator waits for, as last reported.
   struct News {
     std::size_t released = 0;
-    bool silent = false;
+    bool grant_expired = false;
     bool lapsed = false;
     bool holds_grant = false;
 
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -225,7 +225,7 @@
                                    front.predecessor_stopped.has_value();
 }
 
-bool is_silent(const core::State& state, const Front& front, Now now) {
+bool is_grant_expired(const core::State& state, const Front& front, Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
   std::optional<TimePoint> hold = latest_grant_expiry(front);
@@ -246,7 +246,7 @@
           .running = request::running(state, front.server),
           .slot_rates = std::move(load.slot_rates),
           .hot_keys = std::move(load.hot_keys),
-          .silent = is_silent(state, front, now),
+          .grant_expired = is_grant_expired(state, front, now),
           .map_version = front.map_version};
 }
 
@@ -254,7 +254,7 @@
 /// waits for.
 void hurry_news(core::State& state, Front& front, Now now) {
   Front::News news{.released = released_units(state, front, now).size(),
-                   .silent = is_silent(state, front, now),
+                   .grant_expired = is_grant_expired(state, front, now),
                    .lapsed = is_lapsed(state, front, now),
                    .holds_grant = holds_grant(state, front, now)};
   if (news == front.news) return;
--- a/src/core/ownership/servers.cc
+++ b/src/core/ownership/servers.cc
@@ -60,7 +60,7 @@
     return owns_nothing(index, server) ? ServerStatus::kDrained
                                        : ServerStatus::kDraining;
   }
-  bool lost = is_silent(view) && view.report->lapsed;
+  bool lost = is_grant_expired(view) && view.report->lapsed;
   if (lost) return ServerStatus::kLost;
   if (view.status == ServerStatus::kLost && !holds_grant(view))
     return ServerStatus::kLost;
@@ -82,11 +82,11 @@
 
 bool is_usable(const ServerView& view) {
   return view.status == ServerStatus::kActive && !view.drain_ordered &&
-         !is_silent(view);
+         !is_grant_expired(view);
 }
 
-bool is_silent(const ServerView& view) {
-  return view.report != nullptr && view.report->silent;
+bool is_grant_expired(const ServerView& view) {
+  return view.report != nullptr && view.report->grant_expired;
 }
 
 bool is_leaving(const ServerView& view) {
--- a/src/core/ownership/servers.h
+++ b/src/core/ownership/servers.h
@@ -33,7 +33,7 @@
 /// Whether slots may be given to it.
 bool is_usable(const ServerView& view);
 /// Whether it stopped answering, so that its slots should go to others.
-bool is_silent(const ServerView& view);
+bool is_grant_expired(const ServerView& view);
 /// Whether its slots should go to others while it still serves.
 bool is_leaving(const ServerView& view);
 /// Whether the platform has ended it for good, known without its front.
