--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -25,7 +25,7 @@
   }
   note(
       effects, "request_refused",
-      {{"id", request.label},
+      {{"id", request.caller_request_id},
        {"reason", std::string(reason)},
        {"owner", range == nullptr ? "-" : range->owner.name.str()},
        {"owner_load", owner == state.servers.end()
@@ -36,7 +36,7 @@
        {"map_revision", keyed ? text(map->second.revision.value) : "-"},
        {"usable_servers", text(candidates.size())},
        {"least_load", std::to_string(least_load)},
-       {"store_age", text(now - state.store_answered)}});
+       {"store_age", text(now - state.store_answered_at)}});
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
 void note_end(const RequestState& request, int status, std::string_view reason,
               TimePoint now, Effects& effects) {
   note(effects, "request_end",
-       {{"id", request.label},
+       {{"id", request.caller_request_id},
         {"status", std::to_string(status)},
         {"reason", std::string(reason)},
         {"route", request.route->name},
@@ -53,7 +53,7 @@
         {"server", request.server.empty() ? "-" : request.server.str()},
         {"sends", std::to_string(request.sends)},
         {"load_at_send", std::to_string(request.in_flight_at_send)},
-        {"elapsed", text(now - request.arrived)},
+        {"elapsed", text(now - request.arrived_at)},
         {"config", text(request.configuration->version)}});
 }
 
@@ -74,8 +74,8 @@
 
 void refuse(State& state, RequestState& request, std::string_view reason,
             TimePoint now, Effects& effects) {
-  if (request.failure) {
-    return relay(state, request, request.failure, kServerError,
+  if (request.failure_answer) {
+    return relay(state, request, request.failure_answer, kServerError,
                  "server_failure", now, effects);
   }
   if (request.may_have_run) {
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -19,7 +19,7 @@
 void try_again(State& state, RequestState& request, std::string_view reason,
                TimePoint now, Effects& effects) {
   bool sends_left = request.sends < request.route->attempts;
-  if (!sends_left || request.connect_failures >= config::kConnectAttempts) {
+  if (!sends_left || request.connect_failures >= config::kMaxConnectAttempts) {
     return refuse(state, request, reason, now, effects);
   }
   request.phase = RequestPhase::kWaiting;
@@ -31,10 +31,10 @@
   bool failed = ended.status >= kServerError;
   auto server = state.servers.find(request.server);
   if (server != state.servers.end()) {
-    learn_outcome(server->second, !failed, now);
+    record_outcome(server->second, !failed, now);
     if (!failed) {
-      learn_latency(state, server->second, now - request.sent,
-                    request.in_flight_at_send, now);
+      record_latency(state, server->second, now - request.sent_at,
+                     request.in_flight_at_send, now);
     }
   }
   if (promises_not_run(ended.status)) {
@@ -48,9 +48,9 @@
   }
   if (failed && request.route->repeatable &&
       request.sends < request.route->attempts &&
-      time_left(request, now) > request.expected) {
+      time_left(request, now) > request.expected_time) {
     request.may_have_run = true;
-    request.failure = ended.answer;
+    request.failure_answer = ended.answer;
     return try_again(state, request, "server_failure", now, effects);
   }
   relay(state, request, ended.answer, ended.status, "answered", now, effects);
@@ -60,13 +60,13 @@
                 TimePoint now, Effects& effects) {
   auto server = state.servers.find(request.server);
   if (server != state.servers.end()) {
-    learn_outcome(server->second, false, now);
+    record_outcome(server->second, false, now);
     if (ended.result == AttemptResult::kWrongOwner && !request.key) {
       // The address belongs to another server now.
       server->second.blocked_until = now + seconds(1);
     }
   }
-  if (request.key) request.not_before = now + config::kOwnerPause;
+  if (request.key) request.not_before = now + config::kOwnerRetryDelay;
   try_again(state, request,
             ended.result == AttemptResult::kWrongOwner ? "wrong_owner"
                                                        : "server_refused",
@@ -77,10 +77,11 @@
                  TimePoint now, Effects& effects) {
   auto server = state.servers.find(request.server);
   if (server != state.servers.end()) {
-    learn_outcome(server->second, false, now);
+    record_outcome(server->second, false, now);
     server->second.blocked_until = now + config::kConnectBackoff;
     if (ended.no_listener) {
-      on_server_crash(state, life_of(server->second.server), now, effects);
+      on_server_crash(state, incarnation_of(server->second.server), now,
+                      effects);
     }
   }
   --request.sends;  // Nothing reached the server.
@@ -91,17 +92,18 @@
 void on_lost(State& state, RequestState& request, const AttemptEnded& ended,
              TimePoint now, Effects& effects) {
   auto server = state.servers.find(request.server);
-  if (server != state.servers.end()) learn_outcome(server->second, false, now);
+  if (server != state.servers.end()) record_outcome(server->second, false, now);
   if (server != state.servers.end()) {
-    suspect(state, request.fingerprint, life_of(server->second.server), now);
+    record_interruption(state, request.fingerprint,
+                        incarnation_of(server->second.server), now);
   }
   request.may_have_run = true;
-  bool silent = ended.result == AttemptResult::kTimedOut;
-  std::string_view reason = silent ? "no_answer" : "connection_lost";
+  bool timed_out = ended.result == AttemptResult::kTimedOut;
+  std::string_view reason = timed_out ? "no_answer" : "connection_lost";
   if (request.route->repeatable) {
     return try_again(state, request, reason, now, effects);
   }
-  answer(state, request, silent ? kGatewayTimeout : kBadGateway, Duration(0),
+  answer(state, request, timed_out ? kGatewayTimeout : kBadGateway, Duration(0),
          reason, now, effects);
 }
 
@@ -122,7 +124,7 @@
     effects.emplace_back(CancelAttempt{request.attempt});
     auto server = state.servers.find(request.server);
     if (server != state.servers.end()) {
-      learn_outcome(server->second, false, now);
+      record_outcome(server->second, false, now);
     }
     end_attempt(state, request);
     return answer(state, request, kGatewayTimeout, Duration(0), "deadline", now,
@@ -141,11 +143,11 @@
   end_attempt(state, request);
   if (ended.result != AttemptResult::kAnswered) {
     note(effects, "attempt_failed",
-         {{"id", request.label},
+         {{"id", request.caller_request_id},
           {"server", request.server.str()},
           {"status", std::to_string(ended.status)},
           {"why", ended.why},
-          {"after", text(now - request.sent)},
+          {"after", text(now - request.sent_at)},
           {"load_at_send", std::to_string(request.in_flight_at_send)}});
   }
   switch (ended.result) {
--- a/src/fleet/budget.cc
+++ b/src/fleet/budget.cc
@@ -7,10 +7,10 @@
 
 /// Part of the budget that is spent: the window of the users slides and counts
 /// arrivals at the servers, which are later than sends here.
-constexpr double kSpentShare = 0.8;
+constexpr double kBudgetUseShare = 0.8;
 
-void drop_old(std::deque<TimePoint>& times, TimePoint oldest) {
-  while (!times.empty() && times.front() < oldest) times.pop_front();
+void drop_old(std::deque<TimePoint>& times, TimePoint window_start) {
+  while (!times.empty() && times.front() < window_start) times.pop_front();
 }
 
 }  // namespace
@@ -19,19 +19,19 @@
   state.budgets[service].requests.push_back(now);
 }
 
-bool spend_repeat(State& state, const ServiceName& service, TimePoint now) {
+bool spend_retry(State& state, const ServiceName& service, TimePoint now) {
   BudgetState& budget = state.budgets[service];
-  TimePoint oldest = now - state.settings.retry_window;
-  drop_old(budget.requests, oldest);
-  drop_old(budget.repeats, oldest);
-  auto daemons =
-      static_cast<double>(std::max<std::size_t>(1, state.fleet.known.size()));
+  TimePoint window_start = now - state.settings.retry_window;
+  drop_old(budget.requests, window_start);
+  drop_old(budget.retries, window_start);
+  auto daemons = static_cast<double>(
+      std::max<std::size_t>(1, state.fleet.daemon_records.size()));
   double allowed =
-      kSpentShare * (state.settings.retry_ratio *
-                         static_cast<double>(budget.requests.size()) +
-                     state.settings.retry_slack / daemons);
-  if (static_cast<double>(budget.repeats.size()) + 1 > allowed) return false;
-  budget.repeats.push_back(now);
+      kBudgetUseShare * (state.settings.retry_ratio *
+                             static_cast<double>(budget.requests.size()) +
+                         state.settings.retry_slack / daemons);
+  if (static_cast<double>(budget.retries.size()) + 1 > allowed) return false;
+  budget.retries.push_back(now);
   return true;
 }
 
--- a/src/fleet/budget.h
+++ b/src/fleet/budget.h
@@ -9,7 +9,7 @@
 
 void count_request(State& state, const ServiceName& service, TimePoint now);
 /// Takes one repeated send from the budget; false if none is left.
-bool spend_repeat(State& state, const ServiceName& service, TimePoint now);
+bool spend_retry(State& state, const ServiceName& service, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
 
--- a/src/fleet/choice.cc
+++ b/src/fleet/choice.cc
@@ -10,7 +10,7 @@
 
 /// Share of the objective that an answer from another region has to be earlier
 /// by than a nearer one: the links are slow and paid for by volume.
-constexpr double kFarPenaltyShare = 0.25;
+constexpr double kOtherRegionPenaltyShare = 0.25;
 
 struct Best {
   std::size_t index;
@@ -19,18 +19,18 @@
 
 std::optional<Best> best_of(const std::vector<Candidate>& candidates,
                             std::uint64_t draw, Distance furthest,
-                            bool free_only, Duration objective) {
+                            bool free_slot_only, Duration objective) {
   std::optional<Best> best;
   std::size_t count = candidates.size();
-  for (std::size_t step = 0; step < count; ++step) {
-    std::size_t index = (step + draw) % count;
+  for (std::size_t offset = 0; offset < count; ++offset) {
+    std::size_t index = (offset + draw) % count;
     const Candidate& candidate = candidates[index];
     if (candidate.distance > furthest || !has_room(candidate, objective))
       continue;
-    if (free_only && candidate.load >= candidate.slots) continue;
+    if (free_slot_only && candidate.load >= candidate.slots) continue;
     Duration finish = expected_finish(candidate);
-    if (candidate.distance == Distance::kFar) {
-      finish += scaled(objective, kFarPenaltyShare);
+    if (candidate.distance == Distance::kOtherRegion) {
+      finish += scaled(objective, kOtherRegionPenaltyShare);
     }
     if (!best || finish < best->finish) best = Best{index, finish};
   }
@@ -41,43 +41,46 @@
 
 Duration expected_wait(const Candidate& candidate) {
   if (candidate.load < candidate.slots) return Duration(0);
-  double ahead = static_cast<double>(candidate.load - candidate.slots) + 0.5;
-  return scaled(candidate.service_time, ahead / candidate.slots);
+  double queued_ahead =
+      static_cast<double>(candidate.load - candidate.slots) + 0.5;
+  return scaled(candidate.service_time, queued_ahead / candidate.slots);
 }
 
 Duration expected_finish(const Candidate& candidate) {
   Duration finish = expected_wait(candidate) + candidate.service_time;
-  return scaled(finish,
-                1.0 / std::max(candidate.success, config::kLeastSuccess));
+  return scaled(
+      finish, 1.0 / std::max(candidate.success_rate, config::kMinSuccessRate));
 }
 
 bool has_room(const Candidate& candidate, Duration objective) {
   if (candidate.load < candidate.slots) return true;
-  return candidate.load < candidate.slots + config::kServerQueue &&
+  return candidate.load < candidate.slots + config::kMaxServerQueue &&
          expected_wait(candidate) + candidate.service_time <= objective;
 }
 
 std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
                                   Duration objective, std::uint64_t draw) {
   if (candidates.empty()) return std::nullopt;
-  Duration near_enough = scaled(objective, config::kNearEnough);
-  for (Distance furthest : {Distance::kZone, Distance::kRegion}) {
+  Duration nearest_limit =
+      scaled(objective, config::kNearestServerObjectiveShare);
+  for (Distance furthest : {Distance::kSameZone, Distance::kSameRegion}) {
     auto best = best_of(candidates, draw, furthest, true, objective);
-    if (best && best->finish <= near_enough) return best->index;
+    if (best && best->finish <= nearest_limit) return best->index;
   }
-  auto best = best_of(candidates, draw, Distance::kFar, false, objective);
+  auto best =
+      best_of(candidates, draw, Distance::kOtherRegion, false, objective);
   if (!best) return std::nullopt;
   return best->index;
 }
 
 Duration retry_after(const std::vector<Candidate>& candidates,
                      Duration time_left) {
-  Duration longest = scaled(time_left, config::kRetryAfterShare);
+  Duration longest = scaled(time_left, config::kMaxRetryAfterShare);
   Duration earliest = longest;
   for (const Candidate& candidate : candidates) {
     earliest = std::min(earliest, expected_wait(candidate));
   }
-  return std::min(longest, std::max(earliest, config::kLeastRetryAfter));
+  return std::min(longest, std::max(earliest, config::kMinRetryAfter));
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/choice.h
+++ b/src/fleet/choice.h
@@ -15,11 +15,11 @@
 
 struct Candidate {
   ServerName name;
-  Distance distance = Distance::kZone;
+  Distance distance = Distance::kSameZone;
   std::uint32_t slots = 1;
-  std::uint32_t load = 0;    ///< Requests of all daemons at the server.
-  Duration service_time{0};  ///< Of one request in one slot.
-  double success = 1.0;      ///< Share of useful outcomes.
+  std::uint32_t load = 0;     ///< Requests of all daemons at the server.
+  Duration service_time{0};   ///< Of one request in one slot.
+  double success_rate = 1.0;  ///< Share of useful outcomes.
 };
 
 /// Time until a slot is expected to be free for one more request.
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// Time that an answer takes to its caller.
-constexpr Duration kDelivery = milliseconds(20);
+constexpr Duration kAnswerDeliveryTime = milliseconds(20);
 
 enum class Unavailable : std::uint8_t { kNoServer, kNoOwner, kFull };
 
@@ -29,8 +29,8 @@
 }
 
 /// Room that is kept for callers who come back after a refusal.
-std::uint32_t favour(const RequestState& request) {
-  return request.returning ? config::kReturningQueue : 0;
+std::uint32_t retrying_caller_allowance(const RequestState& request) {
+  return request.retried_by_caller ? config::kRetryingCallerExtraQueue : 0;
 }
 
 std::variant<ServerName, Unavailable> owner_of(const State& state,
@@ -46,7 +46,7 @@
   const ServerState& server = state.servers.at(range->owner.name);
   if (now < server.blocked_until) return Unavailable::kNoOwner;
   Candidate owner = candidate_of(state, server, now);
-  owner.load -= std::min(owner.load, favour(request));
+  owner.load -= std::min(owner.load, retrying_caller_allowance(request));
   if (!has_room(owner, request.route->objective)) return Unavailable::kFull;
   return range->owner.name;
 }
@@ -59,11 +59,11 @@
   if (candidates.empty()) return Unavailable::kNoServer;
   std::vector<Candidate> untried;
   for (const Candidate& candidate : candidates) {
-    if (std::find(request.tried.begin(), request.tried.end(), candidate.name) ==
-        request.tried.end()) {
+    if (std::find(request.tried_servers.begin(), request.tried_servers.end(),
+                  candidate.name) == request.tried_servers.end()) {
       untried.push_back(candidate);
       Candidate& added = untried.back();
-      added.load -= std::min(added.load, favour(request));
+      added.load -= std::min(added.load, retrying_caller_allowance(request));
     }
   }
   if (untried.empty()) return Unavailable::kNoServer;
@@ -79,21 +79,21 @@
   request.phase = RequestPhase::kSent;
   request.attempt = AttemptId(state.next_attempt++);
   request.server = name;
-  request.sent = now;
+  request.sent_at = now;
   request.in_flight_at_send = candidate.load;
-  request.expected = expected_finish(candidate);
+  request.expected_time = expected_finish(candidate);
   ++request.sends;
-  if (!request.key) request.tried.push_back(name);
+  if (!request.key) request.tried_servers.push_back(name);
   ++server.in_flight;
   state.fleet.load_changed = true;
   state.attempts[request.attempt] = request.id;
   effects.emplace_back(SendAttempt{
       request.attempt, request.id, name, server.server.address,
-      time_left(request, now), last_moment(request) - now + kTimeoutGrace,
+      time_left(request, now), give_up_time(request) - now + kTimeoutGrace,
       request.route->repeatable});
   if (request.sends > 1) {
     note(effects, "request_resent",
-         {{"id", request.label},
+         {{"id", request.caller_request_id},
           {"server", name.str()},
           {"sends", std::to_string(request.sends)},
           {"left", text(time_left(request, now))}});
@@ -104,12 +104,15 @@
 /// Answers to load whose work varies widely: a run that is cancelled is lost,
 /// so it is given time while a second one could still end before the deadline.
 Duration response_timeout(const RequestState& request) {
-  if (request.key) return scaled(request.expected, config::kOwnerPatience);
-  Duration second_try = scaled(request.expected, config::kSecondTry);
-  Duration latest = request.deadline - request.sent - second_try;
+  if (request.key)
+    return scaled(request.expected_time, config::kOwnerResponseTimeoutFactor);
+  Duration resend_time =
+      scaled(request.expected_time, config::kResendTimeFactor);
+  Duration latest_resend = request.deadline - request.sent_at - resend_time;
   return std::max(
-      scaled(request.expected, config::kLeastPatience),
-      std::min(scaled(request.expected, config::kPatience), latest));
+      scaled(request.expected_time, config::kMinResponseTimeoutFactor),
+      std::min(scaled(request.expected_time, config::kResponseTimeoutFactor),
+               latest_resend));
 }
 
 }  // namespace
@@ -128,9 +131,9 @@
   return candidates;
 }
 
-TimePoint last_moment(const RequestState& request) {
-  TimePoint timeout = request.arrived + request.route->timeout;
-  if (request.deadline < timeout) return request.deadline - kDelivery;
+TimePoint give_up_time(const RequestState& request) {
+  TimePoint timeout = request.arrived_at + request.route->timeout;
+  if (request.deadline < timeout) return request.deadline - kAnswerDeliveryTime;
   return timeout + kTimeoutGrace;
 }
 
@@ -142,37 +145,38 @@
   auto target = request.key ? owner_of(state, request, now)
                             : any_server(state, request, now);
   if (const auto* name = std::get_if<ServerName>(&target)) {
-    if (request.sends > 0 && !spend_repeat(state, request.service, now)) {
+    if (request.sends > 0 && !spend_retry(state, request.service, now)) {
       return refuse(state, request, "retry_budget_spent", now, effects);
     }
     return send(state, request, *name, now, effects);
   }
   request.phase = RequestPhase::kWaiting;
-  Duration held = now - request.arrived;
-  Duration longest = scaled(request.route->objective, config::kHoldShare);
+  Duration waited = now - request.arrived_at;
+  Duration longest_wait =
+      scaled(request.route->objective, config::kMaxWaitObjectiveShare);
   Unavailable why = std::get<Unavailable>(target);
   // Waiting does not help where nothing is about to change.
-  bool no_hope = why == Unavailable::kNoServer ||
-                 (request.key && why == Unavailable::kFull);
-  if (no_hope || held >= longest) {
+  bool waiting_is_futile = why == Unavailable::kNoServer ||
+                           (request.key && why == Unavailable::kFull);
+  if (waiting_is_futile || waited >= longest_wait) {
     refuse(state, request, reason_of(why), now, effects);
   }
 }
 
-void replace_slow(State& state, RequestState& request, TimePoint now,
-                  Effects& effects) {
+void resend_slow_request(State& state, RequestState& request, TimePoint now,
+                         Effects& effects) {
   bool due = request.route->repeatable &&
              request.sends < request.route->attempts &&
-             now - request.sent > response_timeout(request) &&
-             time_left(request, now) > request.expected;
+             now - request.sent_at > response_timeout(request) &&
+             time_left(request, now) > request.expected_time;
   if (!due) return;
   auto target = request.key ? owner_of(state, request, now)
                             : any_server(state, request, now);
   const auto* name = std::get_if<ServerName>(&target);
-  if (name == nullptr || !spend_repeat(state, request.service, now)) return;
+  if (name == nullptr || !spend_retry(state, request.service, now)) return;
   effects.emplace_back(CancelAttempt{request.attempt});
   auto server = state.servers.find(request.server);
-  if (server != state.servers.end()) learn_outcome(server->second, false, now);
+  if (server != state.servers.end()) record_outcome(server->second, false, now);
   end_attempt(state, request);
   request.may_have_run = true;
   send(state, request, *name, now, effects);
--- a/src/fleet/election.cc
+++ b/src/fleet/election.cc
@@ -12,57 +12,56 @@
 
 /// The lower one takes over first: large machines before small ones, and
 /// services spread over machines of one size.
-std::pair<std::uint32_t, std::uint64_t> rank(const State& state,
-                                             const ServiceName& service,
-                                             const DaemonName& daemon) {
+std::pair<std::uint32_t, std::uint64_t> takeover_rank(
+    const State& state, const ServiceName& service, const DaemonName& daemon) {
   std::string text = service.str() + "/" + daemon.str();
-  auto known = state.fleet.known.find(daemon);
+  auto known = state.fleet.daemon_records.find(daemon);
   std::uint32_t capacity =
-      known == state.fleet.known.end() ? 0 : known->second.capacity;
+      known == state.fleet.daemon_records.end() ? 0 : known->second.capacity;
   return {std::numeric_limits<std::uint32_t>::max() - capacity,
           XXH64(text.data(), text.size(), 0)};
 }
 
-bool has_store(Duration silence) {
-  return silence < config::kCoordinatorStoreTimeout;
+bool store_is_reachable(Duration unreachable_for) {
+  return unreachable_for < config::kCoordinatorStoreTimeout;
 }
 
 /// No other daemon that could take over ranks before this one.
-bool first_candidate(const State& state, const ServiceName& service,
-                     TimePoint now) {
-  auto own = rank(state, service, state.settings.self.name);
-  for (const auto& [name, peer] : state.fleet.heard) {
+bool is_first_candidate(const State& state, const ServiceName& service,
+                        TimePoint now) {
+  auto own = takeover_rank(state, service, state.settings.self.name);
+  for (const auto& [name, peer] : state.fleet.peers) {
     if (!is_alive(state, name, now) || peer.heartbeat.stopping ||
-        !has_store(peer.heartbeat.store_unreachable_for)) {
+        !store_is_reachable(peer.heartbeat.store_unreachable_for)) {
       continue;
     }
-    if (rank(state, service, name) < own) return false;
+    if (takeover_rank(state, service, name) < own) return false;
   }
   return true;
 }
 
 /// The coordinator does its duty, as far as this daemon hears.
-bool coordinator_serves(const State& state, const OwnerMap& map,
-                        TimePoint now) {
-  auto heard = state.fleet.heard.find(map.coordinator);
-  if (heard == state.fleet.heard.end() ||
+bool coordinator_is_working(const State& state, const OwnerMap& map,
+                            TimePoint now) {
+  auto peer = state.fleet.peers.find(map.coordinator);
+  if (peer == state.fleet.peers.end() ||
       !is_alive(state, map.coordinator, now)) {
     return false;
   }
-  const Heartbeat& last = heard->second.heartbeat;
+  const Heartbeat& last = peer->second.heartbeat;
   return last.daemon.incarnation == map.coordinator_incarnation &&
-         !last.stopping && has_store(last.store_unreachable_for);
+         !last.stopping && store_is_reachable(last.store_unreachable_for);
 }
 
 /// Another daemon still hears the coordinator that this one does not hear.
-bool heard_by_others(const State& state, const ServiceName& service,
-                     const OwnerMap& map, TimePoint now) {
-  for (const auto& [name, peer] : state.fleet.heard) {
+bool others_receive_heartbeats(const State& state, const ServiceName& service,
+                               const OwnerMap& map, TimePoint now) {
+  for (const auto& [name, peer] : state.fleet.peers) {
     if (!is_alive(state, name, now) || name == map.coordinator) continue;
     for (const auto& term : peer.heartbeat.terms) {
       if (term.service == service && term.term == map.term &&
-          term.coordinator_heartbeat_age + (now - peer.heard) <
-              config::kDaemonSilence) {
+          term.coordinator_heartbeat_age + (now - peer.received_at) <
+              config::kDaemonTimeout) {
         return true;
       }
     }
@@ -79,36 +78,37 @@
 }
 
 bool coordinator_ended(const State& state, const OwnerMap& map) {
-  auto known = state.fleet.known.find(map.coordinator);
-  return known != state.fleet.known.end() &&
+  auto known = state.fleet.daemon_records.find(map.coordinator);
+  return known != state.fleet.daemon_records.end() &&
          known->second.incarnation != map.coordinator_incarnation;
 }
 
 bool should_take_over(const State& state, const ServiceName& service,
                       const MapState& map, TimePoint now) {
-  if (state.stopping || map.writing || !state.store_heard ||
-      !has_store(store_unreachable_for(state, now)) ||
-      now - state.started < config::kElectionDelay) {
+  if (state.stopping || map.pending_write || !state.store_has_answered ||
+      !store_is_reachable(store_unreachable_for(state, now)) ||
+      now - state.started < config::kElectionStartDelay) {
     return false;
   }
-  if (!map.map) return map.absent && first_candidate(state, service, now);
+  if (!map.map) return map.absent && is_first_candidate(state, service, now);
   if (coordinates(state, *map.map)) return false;
-  if (coordinator_serves(state, *map.map, now)) return false;
+  if (coordinator_is_working(state, *map.map, now)) return false;
   bool ended = coordinator_ended(state, *map.map);
-  auto heard = state.fleet.heard.find(map.map->coordinator);
-  bool known_unfit = ended || (heard != state.fleet.heard.end() &&
+  auto peer = state.fleet.peers.find(map.map->coordinator);
+  bool known_unfit = ended || (peer != state.fleet.peers.end() &&
                                is_alive(state, map.map->coordinator, now));
   if (!known_unfit) {
-    if (now - state.started < config::kElectionDelay + config::kDaemonSilence) {
+    if (now - state.started <
+        config::kElectionStartDelay + config::kDaemonTimeout) {
       return false;
     }
-    if (now - map.coordinator_heard <
-        silence_limit(state, map.map->coordinator)) {
+    if (now - map.coordinator_heartbeat_at <
+        daemon_timeout(state, map.map->coordinator)) {
       return false;
     }
-    if (heard_by_others(state, service, *map.map, now)) return false;
+    if (others_receive_heartbeats(state, service, *map.map, now)) return false;
   }
-  return first_candidate(state, service, now);
+  return is_first_candidate(state, service, now);
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -79,7 +79,7 @@
 // From callers.
 struct RequestReceived {
   RequestId id;
-  std::string label;  ///< The caller's name for the request.
+  std::string caller_request_id;  ///< The caller's name for the request.
   std::string host;
   std::string path;  ///< Without the query.
   std::optional<ShardKey> key;
--- a/src/fleet/learning.h
+++ b/src/fleet/learning.h
@@ -13,14 +13,14 @@
                        TimePoint now);
 /// An answer came this long after the request was sent to a server that then
 /// had `load` requests.
-void learn_latency(State& state, ServerState& server, Duration latency,
-                   std::uint32_t load, TimePoint now);
-void learn_outcome(ServerState& server, bool useful, TimePoint now);
+void record_latency(State& state, ServerState& server, Duration latency,
+                    std::uint32_t load, TimePoint now);
+void record_outcome(ServerState& server, bool succeeded, TimePoint now);
 
-void count_key(State& state, const ServiceName& service, ShardKey key,
-               TimePoint now);
+void count_key_request(State& state, const ServiceName& service, ShardKey key,
+                       TimePoint now);
 /// Lets the heat of keys that are no longer asked for fade.
-void decay_heat(State& state, TimePoint now);
+void decay_key_loads(State& state, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
 
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -31,18 +31,18 @@
 }
 
 std::uint64_t start_order(State& state, Lease& lease, const Order& order) {
-  lease.order = state.next_order++;
+  lease.pending_order = state.next_order++;
   lease.releasing = order.release;
-  state.orders[lease.order] = order;
-  return lease.order;
+  state.orders[lease.pending_order] = order;
+  return lease.pending_order;
 }
 
 void grant(State& state, const ServiceName& service, const KeyRange& range,
            Lease& lease, TimePoint now, Effects& effects) {
   const ServerState& server = state.servers.at(range.owner.name);
-  Duration hold =
-      std::min(lease.quiet ? config::kQuietGrantHold : config::kGrantHold,
-               state.settings.hold_max);
+  Duration hold = std::min(
+      lease.low_traffic ? config::kLowTrafficGrantHold : config::kGrantHold,
+      state.settings.hold_max);
   std::uint64_t order = start_order(state, lease,
                                     {service, false, range.owner, range.first,
                                      range.last, range.epoch, now, hold});
@@ -76,118 +76,129 @@
 }
 
 /// A grant for some of these keys waits for its answer.
-bool grant_under_way(const State& state, const KeyRange& range,
-                     const ServerIncarnation& life) {
-  return std::any_of(
-      state.orders.begin(), state.orders.end(), [&](const auto& item) {
-        const Order& order = item.second;
-        return !order.release && order.server == life && overlaps(range, order);
-      });
+bool grant_pending(const State& state, const KeyRange& range,
+                   const ServerIncarnation& holder) {
+  return std::any_of(state.orders.begin(), state.orders.end(),
+                     [&](const auto& item) {
+                       const Order& order = item.second;
+                       return !order.release && order.server == holder &&
+                              overlaps(range, order);
+                     });
 }
 
-bool lapsed(const State& state, const Coordination& duty, const KeyRange& range,
-            const ServerIncarnation& life, TimePoint now) {
-  return !grant_under_way(state, range, life) &&
-         std::none_of(duty.holds.begin(), duty.holds.end(),
-                      [&](const PossibleHold& hold) {
-                        return hold.owner == life && hold.until > now &&
-                               overlaps(range, hold);
+bool grants_expired(const State& state, const CoordinatorRole& coordinator_role,
+                    const KeyRange& range, const ServerIncarnation& holder,
+                    TimePoint now) {
+  return !grant_pending(state, range, holder) &&
+         std::none_of(coordinator_role.possible_grants.begin(),
+                      coordinator_role.possible_grants.end(),
+                      [&](const PossibleGrant& possible) {
+                        return possible.owner == holder &&
+                               possible.until > now &&
+                               overlaps(range, possible);
                       });
 }
 
 /// A released life refuses every lower epoch, also in grants that it carries
 /// out late.
-bool is_free(const State& state, const Coordination& duty,
-             const KeyRange& range, const Lease& lease,
-             const ServerIncarnation& life, TimePoint now) {
+bool no_longer_holds(const State& state,
+                     const CoordinatorRole& coordinator_role,
+                     const KeyRange& range, const Lease& lease,
+                     const ServerIncarnation& holder, TimePoint now) {
   // A grant meant for an earlier life may have reached the next one, so the end
   // of a life proves nothing of its address.
-  return life.name == range.owner.name ||
-         lapsed(state, duty, range, life, now) ||
-         lease.released.count(life) > 0;
+  return holder.name == range.owner.name ||
+         grants_expired(state, coordinator_role, range, holder, now) ||
+         lease.released.count(holder) > 0;
 }
 
 /// Takes the keys back from every life that may hold them. True once none does.
-bool free_keys(State& state, const ServiceName& service, Coordination& duty,
-               const KeyRange& range, Lease& lease, TimePoint now,
-               Effects& effects) {
+bool release_from_previous_owners(State& state, const ServiceName& service,
+                                  CoordinatorRole& coordinator_role,
+                                  const KeyRange& range, Lease& lease,
+                                  TimePoint now, Effects& effects) {
   bool all_free = true;
-  for (const ServerIncarnation& life : range.previous_owners) {
-    if (is_free(state, duty, range, lease, life, now)) continue;
+  for (const ServerIncarnation& holder : range.previous_owners) {
+    if (no_longer_holds(state, coordinator_role, range, lease, holder, now))
+      continue;
     all_free = false;
-    auto server = state.servers.find(life.name);
-    if (lease.order != 0 || now < lease.next_try ||
-        lease.released.count(life) > 0 || server == state.servers.end()) {
+    auto server = state.servers.find(holder.name);
+    if (lease.pending_order != 0 || now < lease.next_order_at ||
+        lease.released.count(holder) > 0 || server == state.servers.end()) {
       continue;
     }
-    release(state, service, range, lease, life, server->second.server.address,
+    release(state, service, range, lease, holder, server->second.server.address,
             now, effects);
   }
   return all_free;
 }
 
-void drive(State& state, const ServiceName& service, Coordination& duty,
-           const KeyRange& range, Lease& lease, TimePoint now,
-           Effects& effects) {
+void send_due_order(State& state, const ServiceName& service,
+                    CoordinatorRole& coordinator_role, const KeyRange& range,
+                    Lease& lease, TimePoint now, Effects& effects) {
   if (lease.fenced) return;
   if (!lease.confirmed && !range.previous_owners.empty()) {
-    if (!free_keys(state, service, duty, range, lease, now, effects)) return;
+    if (!release_from_previous_owners(state, service, coordinator_role, range,
+                                      lease, now, effects))
+      return;
     // Nothing is owed by a release that nobody needs any more.
-    if (lease.releasing) lease.order = 0;
+    if (lease.releasing) lease.pending_order = 0;
   }
-  if (lease.order != 0 || now < lease.next_try) return;
+  if (lease.pending_order != 0 || now < lease.next_order_at) return;
   if (!is_current(state, range.owner)) return;
-  Duration interval =
-      lease.quiet ? config::kQuietGrantRenewal : config::kGrantRenewal;
-  if (lease.confirmed && now - lease.renewed < interval) return;
+  Duration interval = lease.low_traffic ? config::kLowTrafficRenewalInterval
+                                        : config::kGrantRenewalInterval;
+  if (lease.confirmed && now - lease.renewed_at < interval) return;
   grant(state, service, range, lease, now, effects);
 }
 
 Lease* lease_of(MapState& map, const Order& order) {
-  if (!map.duty) return nullptr;
-  auto found = map.duty->leases.find(order.first);
-  if (found == map.duty->leases.end()) return nullptr;
+  if (!map.coordinator_role) return nullptr;
+  auto found = map.coordinator_role->leases.find(order.first);
+  if (found == map.coordinator_role->leases.end()) return nullptr;
   Lease& lease = found->second;
   return lease.epoch == order.epoch ? &lease : nullptr;
 }
 
 /// The server has seen this term's epoch for these keys, so orders of the
 /// coordinator before prolong nothing any more.
-void end_inheritance(const Settings& settings, Coordination& duty, Lease& lease,
-                     const Order& order, TimePoint now) {
-  if (!lease.inherited) return;
-  for (PossibleHold& hold : duty.holds) {
-    if (hold.owner != order.server || hold.first != order.first ||
-        hold.last != order.last) {
+void shorten_inherited_grants(const Settings& settings,
+                              CoordinatorRole& coordinator_role, Lease& lease,
+                              const Order& order, TimePoint now) {
+  if (!lease.from_earlier_term) return;
+  for (PossibleGrant& possible : coordinator_role.possible_grants) {
+    if (possible.owner != order.server || possible.first != order.first ||
+        possible.last != order.last) {
       continue;
     }
-    hold.until = std::min(hold.until, now + longest_hold(settings));
+    possible.until = std::min(possible.until, now + longest_hold(settings));
   }
 }
 
-void record_health(Coordination& duty, const Order& order, OrderResult result,
-                   TimePoint now) {
+void record_health(CoordinatorRole& coordinator_role, const Order& order,
+                   OrderResult result, TimePoint now) {
   bool answered = result == OrderResult::kDone ||
                   result == OrderResult::kFenced ||
                   result == OrderResult::kInvalid;
-  OrderHealth& health = duty.health[order.server];
+  OrderHealth& health = coordinator_role.health[order.server];
   if (answered) {
     health.failures = 0;
     return;
   }
   // An order without an answer says little: some servers carry it out late.
   if (result == OrderResult::kUnanswered) return;
-  if (health.failures++ == 0) health.failing_since = order.sent;
-  health.failed = now;
+  if (health.failures++ == 0) health.failing_since = order.sent_at;
+  health.last_failure = now;
 }
 
-void record_grant(const Settings& settings, Coordination& duty,
+void record_grant(const Settings& settings, CoordinatorRole& coordinator_role,
                   const Order& order, OrderResult result, TimePoint now) {
   bool carried_out = result == OrderResult::kDone;
   bool unanswered = result == OrderResult::kUnanswered;
   if (!carried_out && !unanswered) return;
-  TimePoint until = now + lapse_after(settings, order.hold);
-  record_hold(duty, {order.first, order.last, order.server, until});
+  TimePoint until = now + expiry_delay(settings, order.hold);
+  record_possible_grant(coordinator_role,
+                        {order.first, order.last, order.server, until});
 }
 
 void on_granted(Lease& lease, const Order& order, TimePoint now,
@@ -198,10 +209,10 @@
           {"keys", keys_text(order.first, order.last)},
           {"server", order.server.name.str()},
           {"epoch", text(order.epoch.value)},
-          {"took", text(now - order.sent)}});
+          {"took", text(now - order.sent_at)}});
   }
   lease.confirmed = true;
-  lease.renewed = order.sent;
+  lease.renewed_at = order.sent_at;
   lease.handover.clear();
 }
 
@@ -214,90 +225,94 @@
         {"keys", keys_text(order.first, order.last)},
         {"server", order.server.name.str()},
         {"epoch", text(order.epoch.value)},
-        {"took", text(now - order.sent)}});
+        {"took", text(now - order.sent_at)}});
 }
 
 /// A server that no longer listens and is no longer listed has ended.
-bool process_gone(const State& state, const ServerIncarnation& life) {
-  auto server = state.servers.find(life.name);
+bool is_unlisted(const State& state, const ServerIncarnation& holder) {
+  auto server = state.servers.find(holder.name);
   return server != state.servers.end() && server->second.removed;
 }
 
 }  // namespace
 
-Duration lapse_after(const Settings& settings, Duration hold) {
-  return scaled(hold, 1.0 + config::kSlowClockShare) + settings.thaw_slack +
-         config::kHoldSlack;
+Duration expiry_delay(const Settings& settings, Duration hold) {
+  return scaled(hold, 1.0 + config::kMaxClockLagShare) + settings.thaw_slack +
+         config::kHoldExpirySlack;
 }
 
 Duration longest_hold(const Settings& settings) {
-  return lapse_after(settings,
-                     std::min(config::kQuietGrantHold, settings.hold_max));
+  return expiry_delay(
+      settings, std::min(config::kLowTrafficGrantHold, settings.hold_max));
 }
 
-void record_hold(Coordination& duty, const PossibleHold& hold) {
-  for (PossibleHold& known : duty.holds) {
-    if (known.owner == hold.owner && known.first == hold.first &&
-        known.last == hold.last) {
-      known.until = std::max(known.until, hold.until);
+void record_possible_grant(CoordinatorRole& coordinator_role,
+                           const PossibleGrant& possible) {
+  for (PossibleGrant& known : coordinator_role.possible_grants) {
+    if (known.owner == possible.owner && known.first == possible.first &&
+        known.last == possible.last) {
+      known.until = std::max(known.until, possible.until);
       return;
     }
   }
-  duty.holds.push_back(hold);
+  coordinator_role.possible_grants.push_back(possible);
 }
 
-bool is_silent(const Coordination& duty, const ServerIncarnation& life,
-               TimePoint now) {
-  auto found = duty.health.find(life);
-  if (found == duty.health.end()) return false;
+bool is_unreachable(const CoordinatorRole& coordinator_role,
+                    const ServerIncarnation& server, TimePoint now) {
+  auto found = coordinator_role.health.find(server);
+  if (found == coordinator_role.health.end()) return false;
   const OrderHealth& health = found->second;
-  return health.failures >= config::kServerFailures &&
-         health.failed - health.failing_since >= config::kServerSilence &&
-         now - health.failed < config::kServerPause;
+  return health.failures >= config::kServerUnreachableFailures &&
+         health.last_failure - health.failing_since >=
+             config::kServerUnreachableTime &&
+         now - health.last_failure < config::kUnreachableServerExclusion;
 }
 
-void sync_leases(MapState& map) {
-  std::map<ShardKey, Lease> before = std::move(map.duty->leases);
+void update_leases(MapState& map) {
+  std::map<ShardKey, Lease> before = std::move(map.coordinator_role->leases);
   std::map<ShardKey, Lease> leases;
   for (const KeyRange& range : map.map->ranges) {
     Lease lease;
     if (const Lease* old = lease_before(before, range)) {
       lease = *old;
       // An order for other bounds ends on its own account.
-      if (before.count(range.first) == 0) lease.order = 0;
+      if (before.count(range.first) == 0) lease.pending_order = 0;
     } else {
       lease.owner = range.owner;
       lease.epoch = range.epoch;
-      lease.inherited = before.empty();
+      lease.from_earlier_term = before.empty();
     }
     leases[range.first] = std::move(lease);
   }
-  map.duty->leases = std::move(leases);
+  map.coordinator_role->leases = std::move(leases);
 }
 
-void drive_leases(State& state, const ServiceName& service, MapState& map,
-                  TimePoint now, Effects& effects) {
-  if (map.verify) return;
-  Coordination& duty = *map.duty;
-  std::erase_if(duty.holds,
-                [now](const PossibleHold& hold) { return hold.until <= now; });
+void send_due_orders(State& state, const ServiceName& service, MapState& map,
+                     TimePoint now, Effects& effects) {
+  if (map.must_verify) return;
+  CoordinatorRole& coordinator_role = *map.coordinator_role;
+  std::erase_if(
+      coordinator_role.possible_grants,
+      [now](const PossibleGrant& possible) { return possible.until <= now; });
   for (const KeyRange& range : map.map->ranges) {
-    auto lease = duty.leases.find(range.first);
-    if (lease == duty.leases.end()) continue;
+    auto lease = coordinator_role.leases.find(range.first);
+    if (lease == coordinator_role.leases.end()) continue;
     // Keys that a map being written takes away are not renewed meanwhile.
-    if (map.writing) {
-      const KeyRange* next = find_range(*map.writing, range.first);
+    if (map.pending_write) {
+      const KeyRange* next = find_range(*map.pending_write, range.first);
       if (next == nullptr || next->epoch != range.epoch) continue;
     }
-    drive(state, service, duty, range, lease->second, now, effects);
+    send_due_order(state, service, coordinator_role, range, lease->second, now,
+                   effects);
   }
 }
 
-bool has_arrived(const MapState& map, const KeyRange& range) {
-  if (range.previous_owners.empty() || !map.duty) return false;
-  auto lease = map.duty->leases.find(range.first);
-  return lease != map.duty->leases.end() && lease->second.confirmed &&
-         lease->second.epoch == range.epoch;
+bool is_move_complete(const MapState& map, const KeyRange& range) {
+  if (range.previous_owners.empty() || !map.coordinator_role) return false;
+  auto lease = map.coordinator_role->leases.find(range.first);
+  return lease != map.coordinator_role->leases.end() &&
+         lease->second.confirmed && lease->second.epoch == range.epoch;
 }
 
 void on_order_ended(State& state, const OrderEnded& ended, TimePoint now,
@@ -308,9 +323,9 @@
   state.orders.erase(found);
   MapState& map = state.maps[order.service];
   Lease* lease = lease_of(map, order);
-  if (lease != nullptr && lease->order == ended.order) {
-    lease->order = 0;
-    lease->next_try = now;
+  if (lease != nullptr && lease->pending_order == ended.order) {
+    lease->pending_order = 0;
+    lease->next_order_at = now;
   }
   if (ended.result != OrderResult::kDone) {
     note(effects, "order_failed",
@@ -319,23 +334,26 @@
           {"keys", keys_text(order.first, order.last)},
           {"server", order.server.name.str()},
           {"epoch", text(order.epoch.value)},
-          {"after", text(now - order.sent)},
+          {"after", text(now - order.sent_at)},
           {"why", ended.why}});
-    if (lease != nullptr) lease->next_try = now + config::kOrderRetry;
+    if (lease != nullptr) lease->next_order_at = now + config::kOrderRetryDelay;
   }
-  if (map.duty) {
-    record_health(*map.duty, order, ended.result, now);
+  if (map.coordinator_role) {
+    record_health(*map.coordinator_role, order, ended.result, now);
     if (!order.release) {
-      record_grant(state.settings, *map.duty, order, ended.result, now);
+      record_grant(state.settings, *map.coordinator_role, order, ended.result,
+                   now);
     }
   }
   if (lease == nullptr) return;
   if (ended.result == OrderResult::kDone && order.release) {
-    end_inheritance(state.settings, *map.duty, *lease, order, now);
+    shorten_inherited_grants(state.settings, *map.coordinator_role, *lease,
+                             order, now);
     on_released(*lease, order, ended, now, effects);
   } else if (ended.result == OrderResult::kDone) {
     if (!lease->confirmed) {
-      end_inheritance(state.settings, *map.duty, *lease, order, now);
+      shorten_inherited_grants(state.settings, *map.coordinator_role, *lease,
+                               order, now);
     }
     on_granted(*lease, order, now, effects);
   } else if (ended.result == OrderResult::kFenced && !order.release) {
@@ -345,10 +363,11 @@
     effects.emplace_back(ReadMap{order.service});
   } else if (order.release && (ended.result == OrderResult::kOtherServer ||
                                (ended.result == OrderResult::kNoListener &&
-                                process_gone(state, order.server)))) {
+                                is_unlisted(state, order.server)))) {
     lease->released.insert(order.server);
   }
-  if (map.duty) drive_leases(state, order.service, map, now, effects);
+  if (map.coordinator_role)
+    send_due_orders(state, order.service, map, now, effects);
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/leases.h
+++ b/src/fleet/leases.h
@@ -7,20 +7,21 @@
 namespace eelgrasspin::fleet {
 
 /// Keeps the leases of ranges that stayed, starts those of new ones.
-void sync_leases(MapState& map);
+void update_leases(MapState& map);
 /// Sends the orders that are due; none while the map has to be verified.
-void drive_leases(State& state, const ServiceName& service, MapState& map,
-                  TimePoint now, Effects& effects);
+void send_due_orders(State& state, const ServiceName& service, MapState& map,
+                     TimePoint now, Effects& effects);
 /// A server may hold these keys until then.
-void record_hold(Coordination& duty, const PossibleHold& hold);
+void record_possible_grant(CoordinatorRole& coordinator_role,
+                           const PossibleGrant& possible);
 /// Time from the end of an order to grant keys for `hold` until the grant has
 /// lapsed at the server, whose clock may be slow.
-Duration lapse_after(const Settings& settings, Duration hold);
+Duration expiry_delay(const Settings& settings, Duration hold);
 /// No connection to the server could be made of late.
-bool is_silent(const Coordination& duty, const ServerIncarnation& life,
-               TimePoint now);
+bool is_unreachable(const CoordinatorRole& coordinator_role,
+                    const ServerIncarnation& server, TimePoint now);
 /// Every lease of a range that is on its way to a new owner and has arrived.
-bool has_arrived(const MapState& map, const KeyRange& range);
+bool is_move_complete(const MapState& map, const KeyRange& range);
 
 }  // namespace eelgrasspin::fleet
 
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -153,7 +153,7 @@
     std::uint32_t in_flight = 0;
   };
   std::vector<Load> loads;  ///< Only servers it has requests at.
-  struct Speed {
+  struct MeasuredServiceTime {
     ServerName server;
     double answer_count = 0;   ///< Decayed count.
     Duration service_time{0};  ///< Their mean.
@@ -162,7 +162,7 @@
   struct KeyLoadReport {
     ServiceName service;
     std::vector<KeyLoad> keys;
-    std::vector<Speed> service_times;
+    std::vector<MeasuredServiceTime> service_times;
   };
   std::vector<KeyLoadReport> key_load_reports;
   std::vector<Strike> strikes;  ///< Of the last seconds.
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -15,50 +15,53 @@
 namespace {
 
 /// A pause shorter than this cannot have outlasted a hold.
-constexpr Duration kHarmlessPause = milliseconds(400);
+constexpr Duration kHarmlessPauseTime = milliseconds(400);
 /// A write that got no answer is sent again after this, until one says what
 /// became of it.
-constexpr Duration kWriteRetry = milliseconds(400);
+constexpr Duration kWriteRetryDelay = milliseconds(400);
 /// Between two reads of a map that is not known yet.
-constexpr Duration kMapReadRetry = milliseconds(500);
+constexpr Duration kMapReadInterval = milliseconds(500);
 
-void step_down(MapState& map, std::string_view reason, Effects& effects) {
-  if (!map.duty) return;
+void end_coordinator_role(MapState& map, std::string_view reason,
+                          Effects& effects) {
+  if (!map.coordinator_role) return;
   note(effects, "coordinator_ended",
        {{"service", map.map->service.str()},
         {"term", text(map.map->term.value)},
         {"known_term", text(map.highest_term.value)},
         {"reason", std::string(reason)}});
-  map.duty.reset();
+  map.coordinator_role.reset();
 }
 
 /// Until when grants of an earlier coordinator may act, if its servers are not
 /// shown the new epoch.
-TimePoint predecessors_end(const State& state, const OwnerMap& before,
-                           TimePoint now) {
+TimePoint earlier_grants_end(const State& state, const OwnerMap& before,
+                             TimePoint now) {
   Duration renewing = coordinator_ended(state, before)
                           ? Duration(0)
-                          : config::kRenewWithoutStore;
+                          : config::kMaxRenewalWithoutStore;
   return now + renewing + longest_hold(state.settings);
 }
 
-void start_duty(State& state, MapState& map,
-                const std::optional<OwnerMap>& before, TimePoint now,
-                Effects& effects) {
-  map.duty.emplace();
-  map.duty->placed = now;
+void start_coordinator_role(State& state, MapState& map,
+                            const std::optional<OwnerMap>& before,
+                            TimePoint now, Effects& effects) {
+  map.coordinator_role.emplace();
+  map.coordinator_role->last_placement = now;
   if (before) {
-    TimePoint end = predecessors_end(state, *before, now);
+    TimePoint end = earlier_grants_end(state, *before, now);
     if (!coordinator_ended(state, *before)) {
-      map.duty->predecessor.emplace(before->coordinator,
-                                    before->coordinator_incarnation);
+      map.coordinator_role->predecessor.emplace(
+          before->coordinator, before->coordinator_incarnation);
     }
     for (const KeyRange& range : before->ranges) {
       // Orders of an earlier term carry lower epochs, so that a server that has
       // answered one of this term refuses them also when they come late.
-      record_hold(*map.duty, {range.first, range.last, range.owner, end});
-      for (const ServerIncarnation& life : range.previous_owners) {
-        record_hold(*map.duty, {range.first, range.last, life, end});
+      record_possible_grant(*map.coordinator_role,
+                            {range.first, range.last, range.owner, end});
+      for (const ServerIncarnation& holder : range.previous_owners) {
+        record_possible_grant(*map.coordinator_role,
+                              {range.first, range.last, holder, end});
       }
     }
   }
@@ -77,9 +80,9 @@
   map.revision = revision;
   map.absent = false;
   map.behind_since.reset();
-  map.confirmed = now;
+  map.confirmed_at = now;
   map.highest_term = std::max(map.highest_term, next.term);
-  if (new_term) map.coordinator_heard = now;
+  if (new_term) map.coordinator_heartbeat_at = now;
   note(effects, "map_adopted",
        {{"service", next.service.str()},
         {"term", text(next.term.value)},
@@ -87,32 +90,33 @@
         {"ranges", text(next.ranges.size())},
         {"coordinator", next.coordinator.str()}});
   if (!coordinates(state, next)) {
-    step_down(map, "replaced", effects);
-  } else if (!map.duty) {
-    start_duty(state, map, before, now, effects);
+    end_coordinator_role(map, "replaced", effects);
+  } else if (!map.coordinator_role) {
+    start_coordinator_role(state, map, before, now, effects);
   }
-  if (map.duty) {
-    sync_leases(map);
-    drive_leases(state, next.service, map, now, effects);
+  if (map.coordinator_role) {
+    update_leases(map);
+    send_due_orders(state, next.service, map, now, effects);
   }
   retry_waiting(state, now, effects);
 }
 
 void start_write(MapState& map, OwnerMap next, Effects& effects) {
-  map.writing = std::move(next);
-  map.reread = false;
-  map.uncertain = false;
-  effects.emplace_back(WriteMap{*map.writing, map.revision});
+  map.pending_write = std::move(next);
+  map.resend_write = false;
+  map.write_may_be_done = false;
+  effects.emplace_back(WriteMap{*map.pending_write, map.revision});
 }
 
 /// The store has confirmed that the map is still the one this daemon wrote.
-void resume_duty(State& state, MapState& map, TimePoint now, Effects& effects) {
-  if (map.duty || !coordinates(state, *map.map) ||
+void resume_coordinator_role(State& state, MapState& map, TimePoint now,
+                             Effects& effects) {
+  if (map.coordinator_role || !coordinates(state, *map.map) ||
       map.highest_term > map.map->term) {
     return;
   }
-  start_duty(state, map, map.map, now, effects);
-  sync_leases(map);
+  start_coordinator_role(state, map, map.map, now, effects);
+  update_leases(map);
 }
 
 bool store_reachable(const State& state, TimePoint now) {
@@ -120,23 +124,25 @@
 }
 
 /// A coordinator cut off from the store for long may have been replaced.
-bool may_order(const State& state, TimePoint now) {
-  return now - state.store_answered < config::kRenewWithoutStore;
+bool may_send_orders(const State& state, TimePoint now) {
+  return now - state.store_answered_at < config::kMaxRenewalWithoutStore;
 }
 
-void run_duty(State& state, const ServiceName& service, MapState& map,
-              TimePoint now, Effects& effects) {
-  if (map.verify) return;
-  if (now - map.confirmed >= config::kMapCheck && now >= map.next_read) {
-    map.next_read = now + config::kMapCheck;
+void run_coordinator_role(State& state, const ServiceName& service,
+                          MapState& map, TimePoint now, Effects& effects) {
+  if (map.must_verify) return;
+  if (now - map.confirmed_at >= config::kMapCheckInterval &&
+      now >= map.next_read) {
+    map.next_read = now + config::kMapCheckInterval;
     effects.emplace_back(ReadMap{service});
   }
-  if (!may_order(state, now)) {
-    map.verify = true;
-    return step_down(map, "store_silent", effects);
+  if (!may_send_orders(state, now)) {
+    map.must_verify = true;
+    return end_coordinator_role(map, "store_silent", effects);
   }
-  drive_leases(state, service, map, now, effects);
-  if (map.writing || now < map.next_write || !store_reachable(state, now)) {
+  send_due_orders(state, service, map, now, effects);
+  if (map.pending_write || now < map.next_write ||
+      !store_reachable(state, now)) {
     return;
   }
   auto next = replan(state, service, map, now, effects);
@@ -146,27 +152,28 @@
 void tick_service(State& state, const ServiceName& service, TimePoint now,
                   Effects& effects) {
   MapState& map = state.maps[service];
-  if (map.writing && map.reread && now >= map.next_write) {
-    map.reread = false;
-    effects.emplace_back(WriteMap{*map.writing, map.revision});
+  if (map.pending_write && map.resend_write && now >= map.next_write) {
+    map.resend_write = false;
+    effects.emplace_back(WriteMap{*map.pending_write, map.revision});
   }
-  bool behind =
-      map.behind_since && now - *map.behind_since >= config::kMapBehind;
-  bool unknown = (!map.map && !map.absent) || map.verify || behind;
+  bool behind = map.behind_since &&
+                now - *map.behind_since >= config::kOutdatedMapReadDelay;
+  bool unknown = (!map.map && !map.absent) || map.must_verify || behind;
   if (unknown && now >= map.next_read) {
-    map.next_read = now + kMapReadRetry;
+    map.next_read = now + kMapReadInterval;
     effects.emplace_back(ReadMap{service});
   }
-  if (map.duty) run_duty(state, service, map, now, effects);
-  if (map.duty || now < map.next_write) return;
+  if (map.coordinator_role)
+    run_coordinator_role(state, service, map, now, effects);
+  if (map.coordinator_role || now < map.next_write) return;
   if (!should_take_over(state, service, map, now)) return;
   if (map.map) {
     note(effects, "coordinator_stands",
          {{"service", service.str()},
           {"term", text(map.map->term.next().value)},
           {"before", map.map->coordinator.str()},
-          {"silent", text(now - map.coordinator_heard)}});
-    return start_write(map, taken_over(state, *map.map), effects);
+          {"silent", text(now - map.coordinator_heartbeat_at)}});
+    return start_write(map, take_over_map(state, *map.map), effects);
   }
   auto first = first_map(state, service, now);
   if (first) start_write(map, std::move(*first), effects);
@@ -177,14 +184,14 @@
 void on_map(State& state, const MapSeen& seen, TimePoint now,
             Effects& effects) {
   MapState& map = state.maps[seen.map.service];
-  bool verified = std::exchange(map.verify, false);
-  map.confirmed = now;
+  bool verified = std::exchange(map.must_verify, false);
+  map.confirmed_at = now;
   if (map.map && seen.revision <= map.revision) {
     map.behind_since.reset();
-    if (verified) resume_duty(state, map, now, effects);
+    if (verified) resume_coordinator_role(state, map, now, effects);
     return;
   }
-  if (map.writing) map.writing.reset();
+  if (map.pending_write) map.pending_write.reset();
   adopt(state, map, seen.map, seen.revision, now, effects);
 }
 
@@ -195,7 +202,8 @@
   if (found == state.maps.end() || !found->second.map) return;
   MapState& map = found->second;
   // Only what this daemon can complete; else its map shows as behind.
-  if (change.base != map.revision || map.writing || map.duty) return;
+  if (change.base != map.revision || map.pending_write || map.coordinator_role)
+    return;
   auto next = apply_change(*map.map, change);
   if (next) adopt(state, map, *next, change.revision, now, effects);
 }
@@ -205,17 +213,17 @@
   if (map.map) return;
   map.absent = true;
   map.behind_since.reset();
-  map.next_read = now + kMapReadRetry;
+  map.next_read = now + kMapReadInterval;
 }
 
 void on_map_written(State& state, const MapWriteEnded& ended, TimePoint now,
                     Effects& effects) {
   MapState& map = state.maps[ended.service];
-  if (!map.writing) return;
+  if (!map.pending_write) return;
   switch (ended.outcome) {
     case WriteOutcome::kWritten: {
-      OwnerMap written = std::move(*map.writing);
-      map.writing.reset();
+      OwnerMap written = std::move(*map.pending_write);
+      map.pending_write.reset();
       if (map.map) {
         effects.emplace_back(SendMapChange{
             change_between(*map.map, map.revision, written, ended.revision),
@@ -225,21 +233,21 @@
       break;
     }
     case WriteOutcome::kConflict:
-      map.writing.reset();
-      map.next_write = now + kWriteRetry;
+      map.pending_write.reset();
+      map.next_write = now + kWriteRetryDelay;
       effects.emplace_back(ReadMap{ended.service});
       break;
     case WriteOutcome::kWriteRefused:
       // An earlier send of the same write may still be carried out.
-      map.reread = map.uncertain;
-      if (!map.uncertain) map.writing.reset();
-      map.next_write = now + kWriteRetry;
+      map.resend_write = map.write_may_be_done;
+      if (!map.write_may_be_done) map.pending_write.reset();
+      map.next_write = now + kWriteRetryDelay;
       break;
     case WriteOutcome::kUnknown:
       // The same write is sent again: the store tells whether it has happened.
-      map.reread = true;
-      map.uncertain = true;
-      map.next_write = now + kWriteRetry;
+      map.resend_write = true;
+      map.write_may_be_done = true;
+      map.next_write = now + kWriteRetryDelay;
       break;
   }
   if (ended.outcome != WriteOutcome::kWritten) {
@@ -255,16 +263,16 @@
 /// The coordinator before has heard of this term, or has ended: no order of it
 /// follows, and those under way lapse within the longest hold.
 void end_predecessor(const State& state, MapState& map,
-                     const Heartbeat& heartbeat, TermEpoch known,
+                     const Heartbeat& heartbeat, TermEpoch known_term,
                      TimePoint now) {
-  auto& predecessor = map.duty->predecessor;
+  auto& predecessor = map.coordinator_role->predecessor;
   if (!predecessor || predecessor->first != heartbeat.daemon.name) return;
   bool ended = heartbeat.daemon.incarnation != predecessor->second;
-  if (!ended && known < map.map->term) return;
+  if (!ended && known_term < map.map->term) return;
   predecessor.reset();
   TimePoint end = now + longest_hold(state.settings);
-  for (PossibleHold& hold : map.duty->holds) {
-    hold.until = std::min(hold.until, end);
+  for (PossibleGrant& grant : map.coordinator_role->possible_grants) {
+    grant.until = std::min(grant.until, end);
   }
 }
 
@@ -283,12 +291,13 @@
     map.highest_term = std::max(map.highest_term, term.term);
     if (map.map->coordinator == heartbeat.daemon.name &&
         map.map->coordinator_incarnation == heartbeat.daemon.incarnation) {
-      map.coordinator_heard = now;
+      map.coordinator_heartbeat_at = now;
     }
-    if (map.duty) end_predecessor(state, map, heartbeat, term.term, now);
-    if (map.duty && term.term > map.map->term) {
-      step_down(map, "higher_term_heard", effects);
-      map.verify = true;
+    if (map.coordinator_role)
+      end_predecessor(state, map, heartbeat, term.term, now);
+    if (map.coordinator_role && term.term > map.map->term) {
+      end_coordinator_role(map, "higher_term_heard", effects);
+      map.must_verify = true;
     }
   }
 }
@@ -296,10 +305,10 @@
 void on_resumed(State& state, const Resumed& resumed, TimePoint now,
                 Effects& effects) {
   note(effects, "resumed", {{"gap", text(resumed.gap)}});
-  if (resumed.gap < kHarmlessPause) return;
+  if (resumed.gap < kHarmlessPauseTime) return;
   for (auto& [service, map] : state.maps) {
-    if (!map.duty) continue;
-    map.verify = true;
+    if (!map.coordinator_role) continue;
+    map.must_verify = true;
     map.next_read = now;
   }
 }
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -14,10 +14,11 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-std::vector<Heartbeat::Load> own_loads(const State& state, bool far) {
+std::vector<Heartbeat::Load> own_loads(const State& state, bool other_region) {
   std::vector<Heartbeat::Load> loads;
   for (const auto& [name, server] : state.servers) {
-    if (server.in_flight == 0 || (far && !concerns_far(state, server))) {
+    if (server.in_flight == 0 ||
+        (other_region && !matters_to_other_regions(state, server))) {
       continue;
     }
     loads.push_back({name, server.in_flight});
@@ -29,52 +30,54 @@
   std::vector<Heartbeat::Term> terms;
   for (const auto& [service, map] : state.maps) {
     if (!map.map) continue;
-    Duration heard = map.duty ? Duration(0) : now - map.coordinator_heard;
-    terms.push_back({service, map.highest_term, heard, map.revision});
+    Duration heartbeat_age =
+        map.coordinator_role ? Duration(0) : now - map.coordinator_heartbeat_at;
+    terms.push_back({service, map.highest_term, heartbeat_age, map.revision});
   }
   return terms;
 }
 
 /// A coordinator is waited for by everybody, and a new daemon is unknown.
-bool announces_to_all(const State& state, TimePoint now) {
-  if (state.fleet.heard.empty() ||
-      now - state.started < config::kAnnounceTime) {
+bool sends_to_all(const State& state, TimePoint now) {
+  if (state.fleet.peers.empty() ||
+      now - state.started < config::kStartAnnouncementTime) {
     return true;
   }
   return std::any_of(state.maps.begin(), state.maps.end(), [](const auto& map) {
-    return map.second.duty.has_value();
+    return map.second.coordinator_role.has_value();
   });
 }
 
 /// Daemons of the own region, or of others, that are sent a heartbeat directly.
-std::vector<Endpoint> receivers(const State& state, bool far, bool all) {
+std::vector<Endpoint> receivers(const State& state, bool other_region,
+                                bool all) {
   std::set<Endpoint> to;
   const DaemonRecord& self = state.settings.self;
-  for (const auto& [name, daemon] : state.fleet.known) {
+  for (const auto& [name, daemon] : state.fleet.daemon_records) {
     if (name == self.name) continue;
-    if ((daemon.region != self.region) != far) continue;
+    if ((daemon.region != self.region) != other_region) continue;
     if (all || daemon.zone == self.zone) to.insert(daemon.peer);
   }
   return {to.begin(), to.end()};
 }
 
-void forget_silent(State& state, TimePoint now, Effects& effects) {
-  for (auto it = state.fleet.heard.begin(); it != state.fleet.heard.end();) {
-    if (now - it->second.heard <= config::kDaemonRetention) {
+void forget_timed_out(State& state, TimePoint now, Effects& effects) {
+  for (auto it = state.fleet.peers.begin(); it != state.fleet.peers.end();) {
+    if (now - it->second.received_at <= config::kDaemonRetention) {
       ++it;
       continue;
     }
     note(effects, "daemon_forgotten",
          {{"daemon", it->first.str()},
-          {"silent", text(now - it->second.heard)}});
-    state.fleet.known.erase(it->first);
+          {"silent", text(now - it->second.received_at)}});
+    state.fleet.daemon_records.erase(it->first);
     for (auto& [server, loads] : state.fleet.loads) loads.erase(it->first);
-    it = state.fleet.heard.erase(it);
+    it = state.fleet.peers.erase(it);
   }
 }
 
-void store_loads(State& state, const Heartbeat& before,
-                 const Heartbeat& heartbeat) {
+void update_loads(State& state, const Heartbeat& before,
+                  const Heartbeat& heartbeat) {
   const DaemonName& from = heartbeat.daemon.name;
   for (const auto& load : before.loads) {
     auto found = state.fleet.loads.find(load.server);
@@ -89,9 +92,9 @@
 
 void on_daemon(State& state, const DaemonSeen& seen) {
   auto [found, added] =
-      state.fleet.known.try_emplace(seen.daemon.name, seen.daemon);
+      state.fleet.daemon_records.try_emplace(seen.daemon.name, seen.daemon);
   // Heartbeats are newer than what a daemon wrote when it started.
-  if (!added && state.fleet.heard.count(seen.daemon.name) == 0) {
+  if (!added && state.fleet.peers.count(seen.daemon.name) == 0) {
     found->second = seen.daemon;
   }
 }
@@ -100,13 +103,13 @@
                       Effects& effects) {
   const DaemonName& from = heartbeat.daemon.name;
   if (from == state.settings.self.name) return false;
-  auto found = state.fleet.heard.find(from);
-  if (found != state.fleet.heard.end()) {
+  auto found = state.fleet.peers.find(from);
+  if (found != state.fleet.peers.end()) {
     const Heartbeat& last = found->second.heartbeat;
     // The time of day that incarnations are made of may jump back, so a lower
     // one is believed once the higher one is silent.
     if (heartbeat.daemon.incarnation < last.daemon.incarnation &&
-        now - found->second.heard < silence_limit(state, from)) {
+        now - found->second.received_at < daemon_timeout(state, from)) {
       return false;
     }
     if (heartbeat.daemon.incarnation == last.daemon.incarnation &&
@@ -119,20 +122,20 @@
          {{"daemon", from.str()},
           {"incarnation", text(heartbeat.daemon.incarnation.value)}});
   }
-  auto known = state.fleet.known.find(from);
+  auto known = state.fleet.daemon_records.find(from);
   if (heartbeat.full) {
-    state.fleet.known[from] = heartbeat.daemon;
-  } else if (known != state.fleet.known.end()) {
+    state.fleet.daemon_records[from] = heartbeat.daemon;
+  } else if (known != state.fleet.daemon_records.end()) {
     known->second.incarnation = heartbeat.daemon.incarnation;
   }
-  PeerState& peer = state.fleet.heard[from];
-  store_loads(state, peer.heartbeat, heartbeat);
+  PeerState& peer = state.fleet.peers[from];
+  update_loads(state, peer.heartbeat, heartbeat);
   PeerState before = std::exchange(
       peer, {heartbeat, now - heartbeat.age, now - heartbeat.age});
   if (heartbeat.key_load_reports.empty()) {
     peer.heartbeat.key_load_reports =
         std::move(before.heartbeat.key_load_reports);
-    peer.heat_heard = before.heat_heard;
+    peer.key_loads_received_at = before.key_loads_received_at;
   }
   on_strikes(state, heartbeat.strikes, now);
   on_terms(state, heartbeat, now, effects);
@@ -146,54 +149,58 @@
   }
 }
 
-Heartbeat own_heartbeat(State& state, TimePoint now, bool far) {
+Heartbeat own_heartbeat(State& state, TimePoint now, bool other_region) {
   Heartbeat heartbeat;
   heartbeat.daemon = state.settings.self;
   heartbeat.sequence = ++state.fleet.sequence;
-  heartbeat.full = heartbeat.sequence % config::kFullHeartbeats == 1 ||
-                   now - state.started < config::kFullAfterStart;
+  heartbeat.full = heartbeat.sequence % config::kHeartbeatsPerFullRecord == 1 ||
+                   now - state.started < config::kFullRecordsAfterStart;
   heartbeat.stopping = state.stopping;
   heartbeat.store_unreachable_for = store_unreachable_for(state, now);
   heartbeat.terms = own_terms(state, now);
-  heartbeat.loads = own_loads(state, far);
+  heartbeat.loads = own_loads(state, other_region);
   heartbeat.strikes = recent_strikes(state, now);
-  if (!far) heartbeat.view = own_view(state, now);
+  if (!other_region) heartbeat.view = own_view(state, now);
   return heartbeat;
 }
 
 void send_heartbeats(State& state, TimePoint now, Effects& effects) {
   FleetState& fleet = state.fleet;
-  bool all = announces_to_all(state, now);
-  if (now - fleet.far_sent >= config::kFarHeartbeat) {
-    fleet.far_sent = now;
-    forget_silent(state, now, effects);
-    std::vector<Endpoint> to = fleet.heard.empty()
+  bool all = sends_to_all(state, now);
+  if (now - fleet.other_region_heartbeat_at >=
+      config::kOtherRegionHeartbeatInterval) {
+    fleet.other_region_heartbeat_at = now;
+    forget_timed_out(state, now, effects);
+    std::vector<Endpoint> to = fleet.peers.empty()
                                    ? all_receivers(state)
                                    : receivers(state, true, all);
     if (!to.empty()) {
       effects.emplace_back(SendHeartbeat{own_heartbeat(state, now, true), to});
     }
   }
-  bool idle_due = now - fleet.idle_sent >= config::kIdleHeartbeat;
-  bool near_due =
-      fleet.load_changed && now - fleet.near_sent >= config::kNearHeartbeat;
-  if (idle_due || near_due) {
-    fleet.near_sent = now;
-    if (idle_due) fleet.idle_sent = now;
+  bool regular_due =
+      now - fleet.regular_heartbeat_at >= config::kRegularHeartbeatInterval;
+  bool load_change_due =
+      fleet.load_changed && now - fleet.own_region_heartbeat_at >=
+                                config::kLoadChangeHeartbeatInterval;
+  if (regular_due || load_change_due) {
+    fleet.own_region_heartbeat_at = now;
+    if (regular_due) fleet.regular_heartbeat_at = now;
     fleet.load_changed = false;
-    std::vector<Endpoint> to = receivers(state, false, all && idle_due);
+    std::vector<Endpoint> to = receivers(state, false, all && regular_due);
     if (!to.empty()) {
       effects.emplace_back(SendHeartbeat{own_heartbeat(state, now, false), to});
     }
   }
-  send_bundles(state, now, effects);
-  send_heat(state, now, effects);
+  send_batches(state, now, effects);
+  send_key_loads(state, now, effects);
 }
 
 std::vector<Endpoint> all_receivers(const State& state) {
   std::set<Endpoint> to(state.settings.seeds.begin(),
                         state.settings.seeds.end());
-  for (const auto& [name, daemon] : state.fleet.known) to.insert(daemon.peer);
+  for (const auto& [name, daemon] : state.fleet.daemon_records)
+    to.insert(daemon.peer);
   to.erase(state.settings.self.peer);
   to.erase(Endpoint());
   return {to.begin(), to.end()};
@@ -206,29 +213,31 @@
 
 bool is_alive(const State& state, const DaemonName& daemon, TimePoint now) {
   if (daemon == state.settings.self.name) return true;
-  auto found = state.fleet.heard.find(daemon);
-  if (found == state.fleet.heard.end()) return false;
-  return now - found->second.heard < silence_limit(state, daemon);
+  auto found = state.fleet.peers.find(daemon);
+  if (found == state.fleet.peers.end()) return false;
+  return now - found->second.received_at < daemon_timeout(state, daemon);
 }
 
-Duration silence_limit(const State& state, const DaemonName& daemon) {
-  auto known = state.fleet.known.find(daemon);
+Duration daemon_timeout(const State& state, const DaemonName& daemon) {
+  auto known = state.fleet.daemon_records.find(daemon);
   const DaemonRecord& self = state.settings.self;
-  bool near =
-      known != state.fleet.known.end() && known->second.region == self.region;
-  Duration limit = near ? config::kDaemonSilence : config::kFarDaemonSilence;
-  bool direct = near && known->second.zone == self.zone;
+  bool same_region = known != state.fleet.daemon_records.end() &&
+                     known->second.region == self.region;
+  Duration limit =
+      same_region ? config::kDaemonTimeout : config::kOtherRegionDaemonTimeout;
+  bool direct = same_region && known->second.zone == self.zone;
   for (const auto& [service, map] : state.maps) {
     direct = direct || (map.map && map.map->coordinator == daemon);
   }
-  return direct ? limit : limit + config::kRelayedSilence;
+  return direct ? limit : limit + config::kRelayedTimeoutExtension;
 }
 
 Duration store_unreachable_for(const State& state, TimePoint now) {
-  if (state.store_heard && state.store_answered >= state.store_failed) {
+  if (state.store_has_answered &&
+      state.store_answered_at >= state.store_failed_at) {
     return Duration(0);
   }
-  return now - state.store_answered;
+  return now - state.store_answered_at;
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/peers.h
+++ b/src/fleet/peers.h
@@ -14,7 +14,7 @@
                       Effects& effects);
 /// The next heartbeat of this daemon, as daemons of other regions need it
 /// (`far`) or those of its own.
-Heartbeat own_heartbeat(State& state, TimePoint now, bool far);
+Heartbeat own_heartbeat(State& state, TimePoint now, bool other_region);
 void send_heartbeats(State& state, TimePoint now, Effects& effects);
 /// Every daemon known, and the seeds.
 std::vector<Endpoint> all_receivers(const State& state);
@@ -24,7 +24,7 @@
 /// Heard lately.
 bool is_alive(const State& state, const DaemonName& daemon, TimePoint now);
 /// Silence after which the daemon is not counted as alive.
-Duration silence_limit(const State& state, const DaemonName& daemon);
+Duration daemon_timeout(const State& state, const DaemonName& daemon);
 /// For how long the store has failed to answer; 0 while it answers.
 Duration store_unreachable_for(const State& state, TimePoint now);
 
--- a/src/fleet/placement.cc
+++ b/src/fleet/placement.cc
@@ -9,52 +9,53 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-constexpr std::uint32_t kKeys = kMaxShardKey + 1;
+constexpr std::uint32_t kKeyCount = kMaxShardKey + 1;
 /// Part of the wanted load that a run of keys has to carry to be worth moving.
-constexpr double kLeastFit = 0.3;
-constexpr double kMostFit = 1.15;
+constexpr double kMinLoadFit = 0.3;
+constexpr double kMaxLoadFit = 1.15;
 /// Requests a second; less is not worth a move.
-constexpr double kLeastWanted = 0.1;
+constexpr double kMinWantedRequestsPerSecond = 0.1;
 /// Cost of moving all keys, in units of a run's relative misfit.
-constexpr double kWidthCost = 4.0;
+constexpr double kKeyMoveCost = 4.0;
 /// Load of one key, against the capacity of its owner, from which on it is
 /// given the fastest server.
-constexpr double kHotKeyShare = 0.5;
+constexpr double kHotKeyCapacityShare = 0.5;
 /// A server counts as faster from this ratio of capacities on.
-constexpr double kFasterRatio = 1.25;
+constexpr double kFasterCapacityRatio = 1.25;
 
 struct Loads {
-  std::map<ServerIncarnation, double> of;
+  std::map<ServerIncarnation, double> by_server;
   double total = 0;
   double per_key = 0;  ///< Assumed of each key besides its heat.
 };
 
-double heat_between(const PlacementInput& input, ShardKey first,
-                    ShardKey last) {
+double request_rate_between(const PlacementInput& input, ShardKey first,
+                            ShardKey last) {
   double sum = 0;
-  for (auto it = input.heat.lower_bound(first);
-       it != input.heat.end() && it->first <= last; ++it) {
+  for (auto it = input.request_rates.lower_bound(first);
+       it != input.request_rates.end() && it->first <= last; ++it) {
     sum += it->second;
   }
   return sum;
 }
 
-double keys_of(const KeyRange& range) {
+double key_count(const KeyRange& range) {
   return static_cast<double>(range.last.value - range.first.value + 1);
 }
 
-Loads loads_of(const PlacementInput& input) {
+Loads server_loads(const PlacementInput& input) {
   Loads loads;
-  double heat = 0;
-  for (const auto& [key, weight] : input.heat) heat += weight;
-  loads.per_key = heat * config::kBackgroundShare / kKeys;
-  loads.total = heat * (1.0 + config::kBackgroundShare);
-  for (const PlacedServer& server : input.servers) loads.of[server.life] = 0;
+  double total_rate = 0;
+  for (const auto& [key, rate] : input.request_rates) total_rate += rate;
+  loads.per_key = total_rate * config::kEvenLoadShare / kKeyCount;
+  loads.total = total_rate * (1.0 + config::kEvenLoadShare);
+  for (const PlacedServer& server : input.servers)
+    loads.by_server[server.incarnation] = 0;
   for (const KeyRange& range : input.ranges) {
-    auto found = loads.of.find(range.owner);
-    if (found == loads.of.end()) continue;
-    found->second += heat_between(input, range.first, range.last) +
-                     loads.per_key * keys_of(range);
+    auto found = loads.by_server.find(range.owner);
+    if (found == loads.by_server.end()) continue;
+    found->second += request_rate_between(input, range.first, range.last) +
+                     loads.per_key * key_count(range);
   }
   return loads;
 }
@@ -65,7 +66,7 @@
   return total;
 }
 
-struct Run {
+struct KeyRun {
   ShardKey first;
   ShardKey last;
   double load = 0;
@@ -73,109 +74,115 @@
 
 /// How far a run is from what is wanted: its load against the wanted one, and
 /// the keys that change hands for it.
-double misfit(const Run& run, double wanted) {
+double misfit(const KeyRun& run, double wanted_load) {
   double width = static_cast<double>(run.last.value - run.first.value + 1);
-  return std::abs(run.load - wanted) / wanted + kWidthCost * width / kKeys;
+  return std::abs(run.load - wanted_load) / wanted_load +
+         kKeyMoveCost * width / kKeyCount;
 }
 
-bool better(const Run& left, const std::optional<Run>& right, double wanted) {
-  return !right || misfit(left, wanted) < misfit(*right, wanted);
+bool fits_better(const KeyRun& left, const std::optional<KeyRun>& right,
+                 double wanted_load) {
+  return !right || misfit(left, wanted_load) < misfit(*right, wanted_load);
 }
 
 /// The run of neighbouring hot keys inside the range whose load fits best.
-std::optional<Run> best_run(const PlacementInput& input, const KeyRange& range,
-                            double per_key, double wanted, double most) {
-  std::vector<std::pair<ShardKey, double>> hot;
-  for (auto it = input.heat.lower_bound(range.first);
-       it != input.heat.end() && it->first <= range.last; ++it) {
-    hot.emplace_back(it->first, it->second);
+std::optional<KeyRun> best_key_run(const PlacementInput& input,
+                                   const KeyRange& range, double per_key,
+                                   double wanted_load, double max_load) {
+  std::vector<std::pair<ShardKey, double>> keys;
+  for (auto it = input.request_rates.lower_bound(range.first);
+       it != input.request_rates.end() && it->first <= range.last; ++it) {
+    keys.emplace_back(it->first, it->second);
   }
-  std::optional<Run> best;
-  for (std::size_t from = 0; from < hot.size(); ++from) {
+  std::optional<KeyRun> best;
+  for (std::size_t from = 0; from < keys.size(); ++from) {
     double load = 0;
-    for (std::size_t to = from; to < hot.size(); ++to) {
-      load += hot[to].second;
-      double width = hot[to].first.value - hot[from].first.value + 1;
-      Run run{hot[from].first, hot[to].first, load + per_key * width};
-      if (run.load > most) break;
-      if (better(run, best, wanted)) best = run;
+    for (std::size_t to = from; to < keys.size(); ++to) {
+      load += keys[to].second;
+      double width = keys[to].first.value - keys[from].first.value + 1;
+      KeyRun run{keys[from].first, keys[to].first, load + per_key * width};
+      if (run.load > max_load) break;
+      if (fits_better(run, best, wanted_load)) best = run;
     }
   }
   return best;
 }
 
-std::optional<Run> best_run_of_server(const PlacementInput& input,
-                                      const ServerIncarnation& life,
-                                      double per_key, double wanted,
-                                      double most) {
-  std::optional<Run> best;
+std::optional<KeyRun> best_key_run_of_server(const PlacementInput& input,
+                                             const ServerIncarnation& owner,
+                                             double per_key, double wanted_load,
+                                             double max_load) {
+  std::optional<KeyRun> best;
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
-    if (input.ranges[i].owner != life || !input.movable[i]) continue;
-    auto run = best_run(input, input.ranges[i], per_key, wanted, most);
-    if (run && better(*run, best, wanted)) best = run;
+    if (input.ranges[i].owner != owner || !input.movable[i]) continue;
+    auto run =
+        best_key_run(input, input.ranges[i], per_key, wanted_load, max_load);
+    if (run && fits_better(*run, best, wanted_load)) best = run;
   }
   return best;
 }
 
 /// An idle newcomer gets half of the widest range even when little is known of
 /// the heat, so that it does not stand by unused.
-std::optional<Run> half_of_widest(const PlacementInput& input,
-                                  const ServerIncarnation& life) {
+std::optional<KeyRun> half_of_widest(const PlacementInput& input,
+                                     const ServerIncarnation& owner) {
   const KeyRange* widest = nullptr;
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
     const KeyRange& range = input.ranges[i];
-    if (range.owner != life || !input.movable[i]) continue;
-    if (widest == nullptr || keys_of(range) > keys_of(*widest)) widest = &range;
+    if (range.owner != owner || !input.movable[i]) continue;
+    if (widest == nullptr || key_count(range) > key_count(*widest))
+      widest = &range;
   }
-  if (widest == nullptr || keys_of(*widest) < 2) return std::nullopt;
-  auto half = static_cast<std::uint32_t>(keys_of(*widest) / 2);
-  return Run{ShardKey(widest->last.value - half + 1), widest->last, 0};
+  if (widest == nullptr || key_count(*widest) < 2) return std::nullopt;
+  auto half = static_cast<std::uint32_t>(key_count(*widest) / 2);
+  return KeyRun{ShardKey(widest->last.value - half + 1), widest->last, 0};
 }
 
-const PlacedServer* extreme(const PlacementInput& input, const Loads& loads,
-                            bool most) {
+const PlacedServer* extreme_server(const PlacementInput& input,
+                                   const Loads& loads, bool most_loaded) {
   const PlacedServer* found = nullptr;
-  double found_level = 0;
+  double found_ratio = 0;
   for (const PlacedServer& server : input.servers) {
-    double level = loads.of.at(server.life) / server.capacity;
+    double load_ratio =
+        loads.by_server.at(server.incarnation) / server.capacity;
     if (found == nullptr ||
-        (most ? level > found_level : level < found_level)) {
+        (most_loaded ? load_ratio > found_ratio : load_ratio < found_ratio)) {
       found = &server;
-      found_level = level;
+      found_ratio = load_ratio;
     }
   }
   return found;
 }
 
 const PlacedServer* find_server(const PlacementInput& input,
-                                const ServerIncarnation& life) {
+                                const ServerIncarnation& owner) {
   for (const PlacedServer& server : input.servers) {
-    if (server.life == life) return &server;
+    if (server.incarnation == owner) return &server;
   }
   return nullptr;
 }
 
-const PlacedServer* newcomer_of(const PlacementInput& input) {
+const PlacedServer* server_without_keys(const PlacementInput& input) {
   std::set<ServerIncarnation> owners;
   for (const KeyRange& range : input.ranges) owners.insert(range.owner);
   for (const PlacedServer& server : input.servers) {
-    if (owners.count(server.life) == 0) return &server;
+    if (owners.count(server.incarnation) == 0) return &server;
   }
   return nullptr;
 }
 
-const PlacedServer* widest_owner(const PlacementInput& input) {
+const PlacedServer* owner_of_widest_range(const PlacementInput& input) {
   auto widest =
       std::max_element(input.ranges.begin(), input.ranges.end(),
                        [](const KeyRange& left, const KeyRange& right) {
-                         return keys_of(left) < keys_of(right);
+                         return key_count(left) < key_count(right);
                        });
   return widest == input.ranges.end() ? nullptr
                                       : find_server(input, widest->owner);
 }
 
 /// Position of the range that holds the key; the number of ranges if none does.
-std::size_t range_of(const PlacementInput& input, ShardKey key) {
+std::size_t range_index(const PlacementInput& input, ShardKey key) {
   auto next = std::upper_bound(input.ranges.begin(), input.ranges.end(), key,
                                [](ShardKey wanted, const KeyRange& range) {
                                  return wanted < range.first;
@@ -188,12 +195,13 @@
 
 /// The hottest key cannot be split, so it goes to the fastest server.
 std::optional<Move> move_hottest_key(const PlacementInput& input) {
-  auto hottest = std::max_element(input.heat.begin(), input.heat.end(),
-                                  [](const auto& left, const auto& right) {
-                                    return left.second < right.second;
-                                  });
-  if (hottest == input.heat.end()) return std::nullopt;
-  std::size_t at = range_of(input, hottest->first);
+  auto hottest =
+      std::max_element(input.request_rates.begin(), input.request_rates.end(),
+                       [](const auto& left, const auto& right) {
+                         return left.second < right.second;
+                       });
+  if (hottest == input.request_rates.end()) return std::nullopt;
+  std::size_t at = range_index(input, hottest->first);
   if (at == input.ranges.size() || !input.movable[at]) return std::nullopt;
   const PlacedServer* owner = find_server(input, input.ranges[at].owner);
   const PlacedServer* fastest = owner;
@@ -202,44 +210,48 @@
       fastest = &server;
     }
   }
-  if (owner == nullptr || hottest->second < kHotKeyShare * owner->capacity ||
-      fastest->capacity < kFasterRatio * owner->capacity) {
+  if (owner == nullptr ||
+      hottest->second < kHotKeyCapacityShare * owner->capacity ||
+      fastest->capacity < kFasterCapacityRatio * owner->capacity) {
     return std::nullopt;
   }
-  return Move{hottest->first, hottest->first, fastest->life};
+  return Move{hottest->first, hottest->first, fastest->incarnation};
 }
 
 std::optional<Move> next_move(const PlacementInput& input) {
   if (auto hottest = move_hottest_key(input)) return hottest;
-  Loads loads = loads_of(input);
-  const PlacedServer* taker = newcomer_of(input);
-  bool newcomer = taker != nullptr;
-  if (!newcomer) taker = extreme(input, loads, false);
-  const PlacedServer* giver = extreme(input, loads, true);
-  if (newcomer && loads.total < config::kLeastRate) giver = widest_owner(input);
-  if (giver == nullptr || giver == taker) return std::nullopt;
+  Loads loads = server_loads(input);
+  const PlacedServer* target = server_without_keys(input);
+  bool newcomer = target != nullptr;
+  if (!newcomer) target = extreme_server(input, loads, false);
+  const PlacedServer* source = extreme_server(input, loads, true);
+  if (newcomer && loads.total < config::kMinRebalanceRequestsPerSecond)
+    source = owner_of_widest_range(input);
+  if (source == nullptr || source == target) return std::nullopt;
   double mean = loads.total / total_capacity(input);
-  double giver_load = loads.of.at(giver->life);
-  double taker_load = loads.of.at(taker->life);
-  if (!newcomer && (loads.total < config::kLeastRate ||
-                    giver_load < config::kOverload * mean * giver->capacity)) {
+  double source_load = loads.by_server.at(source->incarnation);
+  double target_load = loads.by_server.at(target->incarnation);
+  if (!newcomer &&
+      (loads.total < config::kMinRebalanceRequestsPerSecond ||
+       source_load < config::kOverloadRatio * mean * source->capacity)) {
     return std::nullopt;
   }
-  double excess = giver_load - mean * giver->capacity;
-  double room = mean * taker->capacity - taker_load;
-  double wanted = newcomer ? room : std::min(excess, room);
-  wanted = std::max(wanted, kLeastWanted);
+  double excess_load = source_load - mean * source->capacity;
+  double target_room = mean * target->capacity - target_load;
+  double wanted_load =
+      newcomer ? target_room : std::min(excess_load, target_room);
+  wanted_load = std::max(wanted_load, kMinWantedRequestsPerSecond);
   // A single hot key may be worth moving although it exceeds the wanted load,
   // as long as the taker ends below what the giver has now.
-  double ceiling =
-      (giver_load / giver->capacity) * taker->capacity - taker_load;
-  double most = std::max(wanted * kMostFit, ceiling * 0.8);
-  auto run =
-      best_run_of_server(input, giver->life, loads.per_key, wanted, most);
-  if (run && run->load < wanted * kLeastFit && !newcomer) run.reset();
-  if (!run && newcomer) run = half_of_widest(input, giver->life);
+  double target_limit =
+      (source_load / source->capacity) * target->capacity - target_load;
+  double max_load = std::max(wanted_load * kMaxLoadFit, target_limit * 0.8);
+  auto run = best_key_run_of_server(input, source->incarnation, loads.per_key,
+                                    wanted_load, max_load);
+  if (run && run->load < wanted_load * kMinLoadFit && !newcomer) run.reset();
+  if (!run && newcomer) run = half_of_widest(input, source->incarnation);
   if (!run) return std::nullopt;
-  return Move{run->first, run->last, taker->life};
+  return Move{run->first, run->last, target->incarnation};
 }
 
 }  // namespace
@@ -249,10 +261,13 @@
   std::vector<KeyRange> ranges;
   std::size_t count = servers.size();
   for (std::size_t i = 0; i < count; ++i) {
-    auto first = static_cast<std::uint32_t>(kKeys * i / count);
-    auto end = static_cast<std::uint32_t>(kKeys * (i + 1) / count);
-    ranges.push_back(
-        {ShardKey(first), ShardKey(end - 1), servers[i].life, epoch, {}});
+    auto first = static_cast<std::uint32_t>(kKeyCount * i / count);
+    auto end = static_cast<std::uint32_t>(kKeyCount * (i + 1) / count);
+    ranges.push_back({ShardKey(first),
+                      ShardKey(end - 1),
+                      servers[i].incarnation,
+                      epoch,
+                      {}});
   }
   return ranges;
 }
@@ -303,21 +318,21 @@
   ranges = std::move(result);
 }
 
-std::size_t moves_per_look(std::size_t servers) {
-  return std::max(config::kMovesPerLook,
-                  servers / config::kServersPerExtraMove);
+std::size_t max_moves_per_round(std::size_t servers) {
+  return std::max(config::kBaseMovesPerRound,
+                  servers / config::kServersPerMove);
 }
 
-std::size_t most_ranges(std::size_t servers) {
-  return std::max(config::kMaxRanges, servers * config::kRangesPerServer);
+std::size_t max_ranges(std::size_t servers) {
+  return std::max(config::kBaseMaxRanges, servers * config::kRangesPerServer);
 }
 
 std::vector<Move> plan_moves(const PlacementInput& input) {
   std::vector<Move> moves;
   PlacementInput working = input;
-  std::size_t most_moves = moves_per_look(input.servers.size());
-  std::size_t most = most_ranges(input.servers.size());
-  while (moves.size() < most_moves && working.ranges.size() < most) {
+  std::size_t move_limit = max_moves_per_round(input.servers.size());
+  std::size_t range_limit = max_ranges(input.servers.size());
+  while (moves.size() < move_limit && working.ranges.size() < range_limit) {
     auto move = next_move(working);
     if (!move) break;
     moves.push_back(*move);
@@ -325,7 +340,7 @@
     std::vector<bool> movable;
     for (const KeyRange& range : working.ranges) {
       // Moves only cut ranges, so each lies inside one that was there before.
-      std::size_t before = range_of(input, range.first);
+      std::size_t before = range_index(input, range.first);
       movable.push_back(before < input.ranges.size() && input.movable[before] &&
                         range.previous_owners.empty());
     }
@@ -335,7 +350,7 @@
 }
 
 const PlacedServer* least_loaded(const PlacementInput& input) {
-  return extreme(input, loads_of(input), false);
+  return extreme_server(input, server_loads(input), false);
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -12,7 +12,7 @@
 namespace eelgrasspin::fleet {
 
 struct PlacedServer {
-  ServerIncarnation life;
+  ServerIncarnation incarnation;
   double capacity = 1.0;  ///< Requests a second that it can serve.
 };
 
@@ -20,7 +20,7 @@
   std::vector<KeyRange> ranges;
   std::vector<bool> movable;  ///< For each range.
   std::vector<PlacedServer> servers;
-  std::map<ShardKey, double> heat;  ///< Requests a second by key.
+  std::map<ShardKey, double> request_rates;  ///< Requests a second by key.
 };
 
 struct Move {
@@ -35,11 +35,11 @@
 
 /// Moves that one look may order: the more servers, the more of them are
 /// overloaded at once.
-std::size_t moves_per_look(std::size_t servers);
+std::size_t max_moves_per_round(std::size_t servers);
 /// Ranges from which on none is split any more.
-std::size_t most_ranges(std::size_t servers);
+std::size_t max_ranges(std::size_t servers);
 
-/// At most moves_per_look() moves that even the load out.
+/// At most max_moves_per_round() moves that even the load out.
 std::vector<Move> plan_moves(const PlacementInput& input);
 
 /// The server with the least load against its capacity.
--- a/src/fleet/quarantine.cc
+++ b/src/fleet/quarantine.cc
@@ -6,15 +6,16 @@
 
 namespace eelgrasspin::fleet {
 
-void suspect(State& state, Fingerprint request, const ServerIncarnation& server,
-             TimePoint now) {
-  state.suspects.push_back({request, server, now});
-  if (state.suspects.size() > config::kMaxSuspects) state.suspects.pop_front();
+void record_interruption(State& state, Fingerprint request,
+                         const ServerIncarnation& server, TimePoint now) {
+  state.interrupted_requests.push_back({request, server, now});
+  if (state.interrupted_requests.size() > config::kMaxInterruptedRequests)
+    state.interrupted_requests.pop_front();
 }
 
 void on_server_crash(State& state, const ServerIncarnation& server,
                      TimePoint now, Effects& effects) {
-  for (const Suspect& item : state.suspects) {
+  for (const InterruptedRequest& item : state.interrupted_requests) {
     if (item.server != server || now - item.at > config::kCrashWindow) continue;
     bool added = state.strikes[item.request].emplace(server, now).second;
     if (!added) continue;
@@ -23,8 +24,9 @@
           {"server", server.name.str()},
           {"strikes", text(state.strikes[item.request].size())}});
   }
-  std::erase_if(state.suspects,
-                [&](const Suspect& item) { return item.server == server; });
+  std::erase_if(
+      state.interrupted_requests,
+      [&](const InterruptedRequest& item) { return item.server == server; });
 }
 
 void on_strikes(State& state, const std::vector<Strike>& strikes,
@@ -38,7 +40,8 @@
   std::vector<Strike> recent;
   for (const auto& [request, servers] : state.strikes) {
     for (const auto& [server, at] : servers) {
-      if (now - at < config::kStrikeTold) recent.push_back({request, server});
+      if (now - at < config::kStrikeAnnouncementTime)
+        recent.push_back({request, server});
     }
   }
   return recent;
@@ -55,9 +58,9 @@
 }
 
 void expire_strikes(State& state, TimePoint now) {
-  while (!state.suspects.empty() &&
-         now - state.suspects.front().at > config::kCrashWindow) {
-    state.suspects.pop_front();
+  while (!state.interrupted_requests.empty() &&
+         now - state.interrupted_requests.front().at > config::kCrashWindow) {
+    state.interrupted_requests.pop_front();
   }
   for (auto it = state.strikes.begin(); it != state.strikes.end();) {
     std::erase_if(it->second, [now](const auto& strike) {
--- a/src/fleet/quarantine.h
+++ b/src/fleet/quarantine.h
@@ -8,8 +8,8 @@
 namespace eelgrasspin::fleet {
 
 /// The request's connection to this server broke while it was being served.
-void suspect(State& state, Fingerprint request, const ServerIncarnation& server,
-             TimePoint now);
+void record_interruption(State& state, Fingerprint request,
+                         const ServerIncarnation& server, TimePoint now);
 /// The server's process has ended: requests that were at it shortly before get
 /// a strike.
 void on_server_crash(State& state, const ServerIncarnation& server,
--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -13,26 +13,27 @@
 namespace {
 
 void on_store_answered(State& state, TimePoint now, Effects& effects) {
-  bool returned =
-      state.store_heard && state.store_failed > state.store_answered;
-  if (returned || !state.store_heard) {
+  bool returned = state.store_has_answered &&
+                  state.store_failed_at > state.store_answered_at;
+  if (returned || !state.store_has_answered) {
     note(effects, "store_reached",
-         {{"silent", state.store_heard ? text(now - state.store_answered)
-                                       : "since_start"}});
+         {{"silent", state.store_has_answered
+                         ? text(now - state.store_answered_at)
+                         : "since_start"}});
   }
-  if (returned) state.outage_ended = now;
-  state.store_heard = true;
-  state.store_answered = now;
+  if (returned) state.outage_ended_at = now;
+  state.store_has_answered = true;
+  state.store_answered_at = now;
 }
 
 void on_store_failed(State& state, const StoreFailed& failed, TimePoint now,
                      Effects& effects) {
-  if (state.store_failed <= state.store_answered) {
+  if (state.store_failed_at <= state.store_answered_at) {
     note(effects, "store_lost",
-         {{"last_answer", text(now - state.store_answered)},
+         {{"last_answer", text(now - state.store_answered_at)},
           {"why", failed.why}});
   }
-  state.store_failed = now;
+  state.store_failed_at = now;
 }
 
 void on_tick(State& state, TimePoint now, Effects& effects) {
@@ -62,8 +63,8 @@
   state.watch_wait = config::kWatchWait;
   state.settings = settings;
   state.started = now;
-  state.store_answered = now;
-  state.fleet.known[settings.self.name] = settings.self;
+  state.store_answered_at = now;
+  state.fleet.daemon_records[settings.self.name] = settings.self;
   state.draws = std::hash<std::string>()(settings.self.name.str()) ^
                 settings.self.incarnation.value;
   return state;
@@ -104,7 +105,7 @@
             on_heartbeat(state, e, now, effects);
           },
           [&](const HeartbeatBatchReceived& e) {
-            on_bundle(state, e, now, effects);
+            on_heartbeat_batch(state, e, now, effects);
           },
           [&](const MapChangeReceived& e) {
             on_map_change(state, e, now, effects);
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Leavers are remembered this long, so that their last answers are accounted.
-constexpr Duration kLeaverRetention = seconds(60);
+constexpr Duration kRemovedServerRetention = seconds(60);
 
-void index(State& state) {
+void rebuild_service_index(State& state) {
   state.by_service.clear();
   for (const auto& [name, server] : state.servers) {
     if (!server.removed)
@@ -27,54 +27,54 @@
   server.leaving_since = now;
 }
 
-void store_server(State& state, const Server& server, TimePoint now,
-                  Effects& effects) {
+void update_server(State& state, const Server& server, TimePoint now,
+                   Effects& effects) {
   auto [found, added] = state.servers.try_emplace(server.name);
   ServerState& entry = found->second;
-  bool reborn = !added && entry.server.incarnation != server.incarnation;
+  bool restarted = !added && entry.server.incarnation != server.incarnation;
   bool was_leaving = entry.leaving;
-  if (reborn) {
+  if (restarted) {
     if (!entry.leaving) {
-      on_server_crash(state, life_of(entry.server), now, effects);
+      on_server_crash(state, incarnation_of(entry.server), now, effects);
     }
     // What was learnt belongs to the life that has ended.
     std::uint32_t in_flight = entry.in_flight;
     entry = ServerState();
     entry.in_flight = in_flight;
   }
-  if (added || reborn) entry.joined = now;
+  if (added || restarted) entry.joined_at = now;
   entry.server = server;
-  entry.seen = now;
+  entry.read_at = now;
   entry.removed = false;
-  entry.returns_until.reset();
+  entry.may_return_until.reset();
   if (server.draining) {
     start_leaving(entry, now);
   } else {
     entry.leaving = false;
   }
-  if (added || reborn || was_leaving != entry.leaving) {
+  if (added || restarted || was_leaving != entry.leaving) {
     note(effects, "server",
          {{"server", server.name.str()},
           {"service", server.service.str()},
           {"zone", server.zone.str()},
           {"state", server.draining ? "draining" : "ready"},
           {"incarnation", text(server.incarnation.value)},
-          {"change", added ? "added" : (reborn ? "restarted" : "state")}});
+          {"change", added ? "added" : (restarted ? "restarted" : "state")}});
   }
 }
 
 void remove_server(State& state, ServerState& entry, TimePoint now,
                    Effects& effects) {
-  if (entry.removed || entry.returns_until) return;
-  if (near_outage(state, now) && !entry.leaving) {
+  if (entry.removed || entry.may_return_until) return;
+  if (in_or_after_outage(state, now) && !entry.leaving) {
     // Counted from the store's return, however late it was listed.
-    bool in_outage = state.store_failed > state.store_answered;
-    entry.returns_until =
-        (in_outage ? now : state.outage_ended) + config::kRegistryReturn;
+    bool in_outage = state.store_failed_at > state.store_answered_at;
+    entry.may_return_until = (in_outage ? now : state.outage_ended_at) +
+                             config::kRegistryRecoveryTime;
     return;
   }
   if (!entry.leaving) {
-    on_server_crash(state, life_of(entry.server), now, effects);
+    on_server_crash(state, incarnation_of(entry.server), now, effects);
   }
   entry.removed = true;
   start_leaving(entry, now);
@@ -82,15 +82,16 @@
        {{"server", entry.server.name.str()},
         {"service", entry.server.service.str()},
         {"state", "gone"},
-        {"entry_age", text(now - entry.seen)}});
+        {"entry_age", text(now - entry.read_at)}});
 }
 
 }  // namespace
 
-bool near_outage(const State& state, TimePoint now) {
-  bool in_outage = state.store_failed > state.store_answered;
-  return in_outage || (state.outage_ended > TimePoint() &&
-                       now - state.outage_ended < config::kRegistryReturn);
+bool in_or_after_outage(const State& state, TimePoint now) {
+  bool in_outage = state.store_failed_at > state.store_answered_at;
+  return in_outage ||
+         (state.outage_ended_at > TimePoint() &&
+          now - state.outage_ended_at < config::kRegistryRecoveryTime);
 }
 
 void on_servers_listed(State& state, const ServersListed& listed, TimePoint now,
@@ -104,19 +105,19 @@
   std::set<ServerName> present;
   for (const Server& server : listed.servers) {
     present.insert(server.name);
-    store_server(state, server, now, effects);
+    update_server(state, server, now, effects);
   }
   for (auto& [name, entry] : state.servers) {
     if (present.count(name) == 0) remove_server(state, entry, now, effects);
   }
-  index(state);
+  rebuild_service_index(state);
   retry_waiting(state, now, effects);
 }
 
 void on_server(State& state, const ServerSeen& seen, TimePoint now,
                Effects& effects) {
-  store_server(state, seen.server, now, effects);
-  index(state);
+  update_server(state, seen.server, now, effects);
+  rebuild_service_index(state);
   retry_waiting(state, now, effects);
 }
 
@@ -125,18 +126,18 @@
   auto found = state.servers.find(removed.name);
   if (found == state.servers.end()) return;
   remove_server(state, found->second, now, effects);
-  index(state);
+  rebuild_service_index(state);
 }
 
 void expire_servers(State& state, TimePoint now, Effects& effects) {
   bool changed = false;
-  bool store_silent = state.store_failed > state.store_answered;
+  bool in_outage = state.store_failed_at > state.store_answered_at;
   for (auto it = state.servers.begin(); it != state.servers.end();) {
     ServerState& entry = it->second;
-    if (entry.returns_until && store_silent) {
-      entry.returns_until = now + config::kRegistryReturn;
-    } else if (entry.returns_until && now >= *entry.returns_until) {
-      entry.returns_until.reset();
+    if (entry.may_return_until && in_outage) {
+      entry.may_return_until = now + config::kRegistryRecoveryTime;
+    } else if (entry.may_return_until && now >= *entry.may_return_until) {
+      entry.may_return_until.reset();
       entry.removed = true;
       start_leaving(entry, now);
       changed = true;
@@ -147,28 +148,28 @@
             {"reason", "not_back_after_outage"}});
     }
     if (entry.removed && entry.in_flight == 0 &&
-        now - entry.leaving_since > kLeaverRetention) {
+        now - entry.leaving_since > kRemovedServerRetention) {
       it = state.servers.erase(it);
       changed = true;
     } else {
       ++it;
     }
   }
-  if (changed) index(state);
+  if (changed) rebuild_service_index(state);
 }
 
 bool accepts_work(const ServerState& server) {
   return !server.leaving && !server.removed;
 }
 
-ServerIncarnation life_of(const Server& server) {
+ServerIncarnation incarnation_of(const Server& server) {
   return {server.name, server.incarnation};
 }
 
-bool is_current(const State& state, const ServerIncarnation& life) {
-  auto found = state.servers.find(life.name);
+bool is_current(const State& state, const ServerIncarnation& server) {
+  auto found = state.servers.find(server.name);
   return found != state.servers.end() && accepts_work(found->second) &&
-         found->second.server.incarnation == life.incarnation;
+         found->second.server.incarnation == server.incarnation;
 }
 
 std::uint32_t load_at(const State& state, const ServerState& server,
@@ -184,12 +185,12 @@
 
 Distance distance_to(const State& state, const ZoneName& zone) {
   const DaemonRecord& self = state.settings.self;
-  if (zone == self.zone) return Distance::kZone;
+  if (zone == self.zone) return Distance::kSameZone;
   auto region = state.settings.regions.find(zone);
   if (region != state.settings.regions.end() && region->second == self.region) {
-    return Distance::kRegion;
+    return Distance::kSameRegion;
   }
-  return Distance::kFar;
+  return Distance::kOtherRegion;
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/registry.h
+++ b/src/fleet/registry.h
@@ -17,17 +17,17 @@
 
 /// The store is out of reach, or was until a moment ago: entries that lapsed in
 /// that time may return.
-bool near_outage(const State& state, TimePoint now);
+bool in_or_after_outage(const State& state, TimePoint now);
 /// New work may be sent to the server.
 bool accepts_work(const ServerState& server);
 /// The life is listed, not leaving.
-bool is_current(const State& state, const ServerIncarnation& life);
-ServerIncarnation life_of(const Server& server);
+bool is_current(const State& state, const ServerIncarnation& server);
+ServerIncarnation incarnation_of(const Server& server);
 /// Requests of all daemons at the server, as far as they are known.
 std::uint32_t load_at(const State& state, const ServerState& server,
                       TimePoint now);
 
-enum class Distance : std::uint8_t { kZone, kRegion, kFar };
+enum class Distance : std::uint8_t { kSameZone, kSameRegion, kOtherRegion };
 Distance distance_to(const State& state, const ZoneName& zone);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -13,17 +13,16 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// KeyLoadReport halves in kHeatHalfLife, so a steady rate adds up to this many
-/// seconds of it.
-const double kHeatSeconds =
-    static_cast<double>(config::kHeatHalfLife.count()) / 1e6 / 0.6931;
+/// KeyLoadReport halves in kKeyLoadHalfLife, so a steady rate adds up to this
+/// many seconds of it.
+const double kKeyLoadSeconds =
+    static_cast<double>(config::kKeyLoadHalfLife.count()) / 1e6 / 0.6931;
 /// Answers that a server's measured speed has to rest on.
-constexpr double kLeastAnswers = 2.0;
+constexpr double kMinMeasuredAnswers = 2.0;
 
 /// Mean of what all daemons have measured, weighted by their answers.
-std::map<ServerName, Duration> fleet_speeds(const State& state,
-                                            const ServiceName& service,
-                                            TimePoint now) {
+std::map<ServerName, Duration> measured_service_times(
+    const State& state, const ServiceName& service, TimePoint now) {
   struct Sum {
     double answer_count = 0;
     double total = 0;
@@ -35,12 +34,13 @@
     sum.answer_count += answer_count;
     sum.total += answer_count * static_cast<double>(mean.count());
   };
-  for (const auto& [name, peer] : state.fleet.heard) {
-    if (now - peer.heat_heard > config::kHeatRetention) continue;
-    for (const auto& heat : peer.heartbeat.key_load_reports) {
-      if (heat.service != service) continue;
-      for (const auto& speed : heat.service_times) {
-        add(speed.server, speed.answer_count, speed.service_time);
+  for (const auto& [name, peer] : state.fleet.peers) {
+    if (now - peer.key_loads_received_at > config::kMaxKeyLoadReportAge)
+      continue;
+    for (const auto& report : peer.heartbeat.key_load_reports) {
+      if (report.service != service) continue;
+      for (const auto& measured : report.service_times) {
+        add(measured.server, measured.answer_count, measured.service_time);
       }
     }
   }
@@ -50,7 +50,7 @@
   }
   std::map<ServerName, Duration> service_times;
   for (const auto& [name, sum] : sums) {
-    if (sum.answer_count < kLeastAnswers) continue;
+    if (sum.answer_count < kMinMeasuredAnswers) continue;
     service_times[name] =
         Duration(static_cast<Duration::rep>(sum.total / sum.answer_count));
   }
@@ -59,71 +59,78 @@
 
 /// Servers that are listed but answer no orders; none if that holds for so many
 /// that the coordinator's own path is the likelier cause.
-std::set<ServerName> silent_servers(const State& state,
-                                    const ServiceName& service, TimePoint now) {
-  std::set<ServerName> silent;
+std::set<ServerName> unreachable_servers(const State& state,
+                                         const ServiceName& service,
+                                         TimePoint now) {
+  std::set<ServerName> unreachable;
   auto map = state.maps.find(service);
   auto listed = state.by_service.find(service);
-  if (map == state.maps.end() || !map->second.duty ||
+  if (map == state.maps.end() || !map->second.coordinator_role ||
       listed == state.by_service.end()) {
-    return silent;
+    return unreachable;
   }
   for (const ServerName& name : listed->second) {
-    ServerIncarnation life = life_of(state.servers.at(name).server);
-    if (is_silent(*map->second.duty, life, now)) silent.insert(name);
+    ServerIncarnation incarnation =
+        incarnation_of(state.servers.at(name).server);
+    if (is_unreachable(*map->second.coordinator_role, incarnation, now))
+      unreachable.insert(name);
   }
-  double most =
-      config::kMostSilentShare * static_cast<double>(listed->second.size());
-  if (static_cast<double>(silent.size()) > most) silent.clear();
-  return silent;
+  double max_unreachable = config::kMaxUnreachableServerShare *
+                           static_cast<double>(listed->second.size());
+  if (static_cast<double>(unreachable.size()) > max_unreachable)
+    unreachable.clear();
+  return unreachable;
 }
 
-std::vector<PlacedServer> placeable(const State& state,
-                                    const ServiceName& service, TimePoint now) {
+std::vector<PlacedServer> usable_servers(const State& state,
+                                         const ServiceName& service,
+                                         TimePoint now) {
   std::vector<PlacedServer> servers;
   auto found = state.by_service.find(service);
   if (found == state.by_service.end()) return servers;
   std::map<ServerName, Duration> service_times =
-      fleet_speeds(state, service, now);
-  std::set<ServerName> silent = silent_servers(state, service, now);
+      measured_service_times(state, service, now);
+  std::set<ServerName> unreachable = unreachable_servers(state, service, now);
   for (const ServerName& name : found->second) {
     const ServerState& server = state.servers.at(name);
-    if (!accepts_work(server) || silent.count(name) > 0) continue;
-    auto speed = service_times.find(name);
-    Duration each = speed == service_times.end()
-                        ? service_time(state, server, now)
-                        : speed->second;
-    double seconds = static_cast<double>(each.count()) / 1e6;
-    servers.push_back({life_of(server.server),
+    if (!accepts_work(server) || unreachable.count(name) > 0) continue;
+    auto measured = service_times.find(name);
+    Duration time_per_request = measured == service_times.end()
+                                    ? service_time(state, server, now)
+                                    : measured->second;
+    double seconds = static_cast<double>(time_per_request.count()) / 1e6;
+    servers.push_back({incarnation_of(server.server),
                        server.server.slots / std::max(seconds, 0.001)});
   }
   return servers;
 }
 
-void add_heat(std::map<ShardKey, double>& heat, ShardKey key, double weight) {
-  heat[key] += weight / kHeatSeconds;
+void add_key_load(std::map<ShardKey, double>& rates, ShardKey key,
+                  double weight) {
+  rates[key] += weight / kKeyLoadSeconds;
 }
 
-std::map<ShardKey, double> fleet_heat(const State& state,
-                                      const ServiceName& service,
-                                      TimePoint now) {
-  std::map<ShardKey, double> heat;
-  auto own = state.heat.find(service);
-  if (own != state.heat.end()) {
-    for (const auto& [key, weight] : own->second.weights) {
-      add_heat(heat, ShardKey(key), weight);
+std::map<ShardKey, double> key_request_rates(const State& state,
+                                             const ServiceName& service,
+                                             TimePoint now) {
+  std::map<ShardKey, double> rates;
+  auto own = state.key_loads.find(service);
+  if (own != state.key_loads.end()) {
+    for (const auto& [key, weight] : own->second.request_counts) {
+      add_key_load(rates, ShardKey(key), weight);
     }
   }
-  for (const auto& [name, peer] : state.fleet.heard) {
-    if (now - peer.heat_heard > config::kHeatRetention) continue;
-    for (const auto& reported : peer.heartbeat.key_load_reports) {
-      if (reported.service != service) continue;
-      for (const KeyLoad& key : reported.keys) {
-        add_heat(heat, key.key, key.weight);
+  for (const auto& [name, peer] : state.fleet.peers) {
+    if (now - peer.key_loads_received_at > config::kMaxKeyLoadReportAge)
+      continue;
+    for (const auto& report : peer.heartbeat.key_load_reports) {
+      if (report.service != service) continue;
+      for (const KeyLoad& key : report.keys) {
+        add_key_load(rates, key.key, key.weight);
       }
     }
   }
-  return heat;
+  return rates;
 }
 
 bool still_joining(const State& state, const ServiceName& service,
@@ -132,15 +139,15 @@
   return listed != state.by_service.end() &&
          std::any_of(listed->second.begin(), listed->second.end(),
                      [&](const ServerName& name) {
-                       return now - state.servers.at(name).joined <
-                              config::kFirstMapQuiet;
+                       return now - state.servers.at(name).joined_at <
+                              config::kFirstMapJoinDelay;
                      });
 }
 
-bool settle(const MapState& map, OwnerMap& next) {
+bool finish_completed_moves(const MapState& map, OwnerMap& next) {
   bool changed = false;
   for (KeyRange& range : next.ranges) {
-    if (!has_arrived(map, range)) continue;
+    if (!is_move_complete(map, range)) continue;
     range.previous_owners.clear();
     changed = true;
   }
@@ -148,11 +155,12 @@
 }
 
 /// A server that has seen a higher epoch is shown a still higher one.
-bool raise_fenced(const MapState& map, OwnerMap& next) {
+bool raise_fenced_epochs(const MapState& map, OwnerMap& next) {
   bool changed = false;
   for (KeyRange& range : next.ranges) {
-    auto lease = map.duty->leases.find(range.first);
-    if (lease == map.duty->leases.end() || !lease->second.fenced) continue;
+    auto lease = map.coordinator_role->leases.find(range.first);
+    if (lease == map.coordinator_role->leases.end() || !lease->second.fenced)
+      continue;
     next.next_epoch = next.next_epoch.next();
     range.epoch = next.next_epoch;
     changed = true;
@@ -164,34 +172,34 @@
                                const OwnerMap& map, TimePoint now) {
   PlacementInput input;
   input.ranges = map.ranges;
-  input.servers = placeable(state, service, now);
-  input.heat = fleet_heat(state, service, now);
+  input.servers = usable_servers(state, service, now);
+  input.request_rates = key_request_rates(state, service, now);
   input.movable.assign(map.ranges.size(), true);
   return input;
 }
 
 /// The life that keys of a lost one go to: its next life if the server has
 /// started again, else the least loaded server.
-std::optional<ServerIncarnation> heir(const State& state,
-                                      const ServerIncarnation& lost,
-                                      const PlacementInput& input) {
-  auto again = state.servers.find(lost.name);
-  if (again != state.servers.end() && accepts_work(again->second) &&
-      again->second.server.incarnation != lost.incarnation) {
-    return life_of(again->second.server);
+std::optional<ServerIncarnation> replacement_owner(
+    const State& state, const ServerIncarnation& lost,
+    const PlacementInput& input) {
+  auto restarted = state.servers.find(lost.name);
+  if (restarted != state.servers.end() && accepts_work(restarted->second) &&
+      restarted->second.server.incarnation != lost.incarnation) {
+    return incarnation_of(restarted->second.server);
   }
-  const PlacedServer* taker = least_loaded(input);
-  if (taker == nullptr) return std::nullopt;
-  return taker->life;
+  const PlacedServer* target = least_loaded(input);
+  if (target == nullptr) return std::nullopt;
+  return target->incarnation;
 }
 
-bool rehome(const State& state, const ServiceName& service, OwnerMap& next,
-            TimePoint now, Effects& effects) {
+bool reassign_lost_ranges(const State& state, const ServiceName& service,
+                          OwnerMap& next, TimePoint now, Effects& effects) {
   bool changed = false;
-  std::set<ServerName> silent = silent_servers(state, service, now);
+  std::set<ServerName> unreachable = unreachable_servers(state, service, now);
   auto usable = [&](const KeyRange& range) {
     return is_current(state, range.owner) &&
-           silent.count(range.owner.name) == 0;
+           unreachable.count(range.owner.name) == 0;
   };
   if (std::all_of(next.ranges.begin(), next.ranges.end(), usable)) return false;
   PlacementInput input = placement_input(state, service, next, now);
@@ -199,7 +207,7 @@
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
     KeyRange range = input.ranges[i];
     if (usable(range)) continue;
-    auto to = heir(state, range.owner, input);
+    auto to = replacement_owner(state, range.owner, input);
     if (!to) continue;
     next.next_epoch = next.next_epoch.next();
     assign(input.ranges, {range.first, range.last, *to}, next.next_epoch);
@@ -216,8 +224,8 @@
   for (KeyRange& range : next.ranges) {
     // A higher epoch at the same server needs no release first.
     std::erase_if(range.previous_owners,
-                  [&range](const ServerIncarnation& life) {
-                    return life.name == range.owner.name;
+                  [&range](const ServerIncarnation& holder) {
+                    return holder.name == range.owner.name;
                   });
   }
   return changed;
@@ -227,48 +235,51 @@
              TimePoint now) {
   if (!range.previous_owners.empty() || !is_current(state, range.owner))
     return false;
-  auto lease = map.duty->leases.find(range.first);
-  if (lease == map.duty->leases.end() || !lease->second.confirmed) return false;
-  auto moved = map.duty->moved.find(range.first);
-  return moved == map.duty->moved.end() ||
+  auto lease = map.coordinator_role->leases.find(range.first);
+  if (lease == map.coordinator_role->leases.end() || !lease->second.confirmed)
+    return false;
+  auto moved = map.coordinator_role->last_moves.find(range.first);
+  return moved == map.coordinator_role->last_moves.end() ||
          now - moved->second >= config::kMoveCooldown;
 }
 
 /// Ranges without much traffic are granted for longer.
-void note_quiet(const PlacementInput& input, Coordination& duty) {
+void mark_low_traffic(const PlacementInput& input,
+                      CoordinatorRole& coordinator_role) {
   for (const KeyRange& range : input.ranges) {
-    auto lease = duty.leases.find(range.first);
-    if (lease == duty.leases.end()) continue;
+    auto lease = coordinator_role.leases.find(range.first);
+    if (lease == coordinator_role.leases.end()) continue;
     double rate = 0;
-    for (auto it = input.heat.lower_bound(range.first);
-         it != input.heat.end() && it->first <= range.last; ++it) {
+    for (auto it = input.request_rates.lower_bound(range.first);
+         it != input.request_rates.end() && it->first <= range.last; ++it) {
       rate += it->second;
     }
-    lease->second.quiet = rate < config::kQuietRate;
+    lease->second.low_traffic = rate < config::kLowTrafficRequestsPerSecond;
   }
 }
 
 bool rebalance(const State& state, const ServiceName& service, MapState& map,
                OwnerMap& next, TimePoint now, Effects& effects) {
-  if (now - map.duty->placed < config::kPlacementInterval) return false;
-  map.duty->placed = now;
+  if (now - map.coordinator_role->last_placement < config::kPlacementInterval)
+    return false;
+  map.coordinator_role->last_placement = now;
   PlacementInput input = placement_input(state, service, next, now);
   for (std::size_t i = 0; i < input.ranges.size(); ++i) {
     input.movable[i] = movable(state, map, input.ranges[i], now);
   }
-  note_quiet(input, *map.duty);
+  mark_low_traffic(input, *map.coordinator_role);
   std::vector<Move> moves = plan_moves(input);
   for (const Move& move : moves) {
     next.next_epoch = next.next_epoch.next();
     assign(next.ranges, move, next.next_epoch);
-    map.duty->moved[move.first] = now;
+    map.coordinator_role->last_moves[move.first] = now;
     note(effects, "keys_moved",
          {{"service", service.str()},
           {"keys", std::to_string(move.first.value) + "-" +
                        std::to_string(move.last.value)},
           {"to", move.to.name.str()},
           {"epoch", text(next.next_epoch.value)},
-          {"hot_keys", text(input.heat.size())}});
+          {"hot_keys", text(input.request_rates.size())}});
   }
   return !moves.empty();
 }
@@ -277,7 +288,7 @@
 
 std::optional<OwnerMap> first_map(const State& state,
                                   const ServiceName& service, TimePoint now) {
-  std::vector<PlacedServer> servers = placeable(state, service, now);
+  std::vector<PlacedServer> servers = usable_servers(state, service, now);
   if (servers.empty() || still_joining(state, service, now)) {
     return std::nullopt;
   }
@@ -291,7 +302,7 @@
   return map;
 }
 
-OwnerMap taken_over(const State& state, const OwnerMap& map) {
+OwnerMap take_over_map(const State& state, const OwnerMap& map) {
   OwnerMap next = map;
   next.coordinator = state.settings.self.name;
   next.coordinator_incarnation = state.settings.self.incarnation;
@@ -305,9 +316,9 @@
 std::optional<OwnerMap> replan(const State& state, const ServiceName& service,
                                MapState& map, TimePoint now, Effects& effects) {
   OwnerMap next = *map.map;
-  bool changed = settle(map, next);
-  changed = raise_fenced(map, next) || changed;
-  changed = rehome(state, service, next, now, effects) || changed;
+  bool changed = finish_completed_moves(map, next);
+  changed = raise_fenced_epochs(map, next) || changed;
+  changed = reassign_lost_ranges(state, service, next, now, effects) || changed;
   changed = rebalance(state, service, map, next, now, effects) || changed;
   if (!changed) return std::nullopt;
   join_neighbours(next.ranges);
--- a/src/fleet/replan.h
+++ b/src/fleet/replan.h
@@ -10,7 +10,7 @@
 std::optional<OwnerMap> first_map(const State& state,
                                   const ServiceName& service, TimePoint now);
 /// The same owners under a new coordinator and a new epoch.
-OwnerMap taken_over(const State& state, const OwnerMap& map);
+OwnerMap take_over_map(const State& state, const OwnerMap& map);
 /// The map with every change that is due now; empty if none is.
 std::optional<OwnerMap> replan(const State& state, const ServiceName& service,
                                MapState& map, TimePoint now, Effects& effects);
--- a/src/fleet/requests.cc
+++ b/src/fleet/requests.cc
@@ -14,16 +14,16 @@
 
 ServiceName choose_destination(State& state, const Route& route) {
   if (route.destinations.size() == 1) return route.destinations[0].service;
-  std::vector<double>& credit = state.splits[route.name].credit;
-  credit.resize(route.destinations.size(), 0.0);
+  std::vector<double>& credits = state.splits[route.name].credits;
+  credits.resize(route.destinations.size(), 0.0);
   double total = 0;
   std::size_t best = 0;
-  for (std::size_t i = 0; i < credit.size(); ++i) {
-    credit[i] += route.destinations[i].weight;
+  for (std::size_t i = 0; i < credits.size(); ++i) {
+    credits[i] += route.destinations[i].weight;
     total += route.destinations[i].weight;
-    if (credit[i] > credit[best]) best = i;
+    if (credits[i] > credits[best]) best = i;
   }
-  credit[best] -= total;
+  credits[best] -= total;
   return route.destinations[best].service;
 }
 
@@ -34,7 +34,7 @@
       status == kUnavailable ? Duration(milliseconds(500)) : Duration(0);
   effects.emplace_back(AnswerCaller{received.id, status, after, reason});
   note(effects, "request_end",
-       {{"id", received.label},
+       {{"id", received.caller_request_id},
         {"status", std::to_string(status)},
         {"reason", std::string(reason)},
         {"host", received.host},
@@ -70,7 +70,7 @@
   }
   RequestState request;
   request.id = received.id;
-  request.label = received.label;
+  request.caller_request_id = received.caller_request_id;
   request.configuration = state.configuration;
   request.route = route;
   request.service = choose_destination(state, *route);
@@ -80,15 +80,16 @@
       return refuse_unrouted(received, kBadRequest, "no_key", version, effects);
     }
     request.key = received.key;
-    count_key(state, request.service, *received.key, now);
+    count_key_request(state, request.service, *received.key, now);
   }
   request.fingerprint = received.fingerprint;
-  request.arrived = now;
+  request.arrived_at = now;
   if (received.deadline) {
     Duration& longest = state.deadlines[route->name];
     longest = std::max(longest, *received.deadline);
-    request.returning =
-        *received.deadline < scaled(longest, config::kReturningShare);
+    request.retried_by_caller =
+        *received.deadline <
+        scaled(longest, config::kRetryingCallerDeadlineShare);
   }
   Duration allowed = received.deadline.value_or(config::kDefaultDeadline);
   request.deadline = now + std::min(allowed, route->timeout);
@@ -113,18 +114,18 @@
 }
 
 void tick_requests(State& state, TimePoint now, Effects& effects) {
-  decay_heat(state, now);
+  decay_key_loads(state, now);
   expire_strikes(state, now);
   std::vector<RequestId> due;
   for (const auto& [id, request] : state.requests) {
-    if (now >= last_moment(request)) due.push_back(id);
+    if (now >= give_up_time(request)) due.push_back(id);
   }
   for (RequestId id : due) {
     expire(state, state.requests.at(id), now, effects);
   }
   for (auto& [id, request] : state.requests) {
     if (request.phase == RequestPhase::kSent) {
-      replace_slow(state, request, now, effects);
+      resend_slow_request(state, request, now, effects);
     }
   }
   retry_waiting(state, now, effects);
--- a/src/fleet/requests_p.h
+++ b/src/fleet/requests_p.h
@@ -45,15 +45,15 @@
                                       const ServiceName& service,
                                       TimePoint now);
 /// When a request is ended here although its server has not answered.
-TimePoint last_moment(const RequestState& request);
+TimePoint give_up_time(const RequestState& request);
 /// Sends the request if a server can take it now, else leaves it waiting or
 /// refuses it. The request may be gone afterwards.
 void dispatch(State& state, RequestState& request, TimePoint now,
               Effects& effects);
 /// Sends a repeatable request to another server when the first one takes far
 /// longer than expected, if one has room for it.
-void replace_slow(State& state, RequestState& request, TimePoint now,
-                  Effects& effects);
+void resend_slow_request(State& state, RequestState& request, TimePoint now,
+                         Effects& effects);
 
 // Attempts, in attempts.cc.
 /// The attempt under way is over, however it ended.
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -14,25 +14,25 @@
 
 bool coordinates_any(const State& state) {
   return std::any_of(state.maps.begin(), state.maps.end(), [](const auto& map) {
-    return map.second.duty.has_value();
+    return map.second.coordinator_role.has_value();
   });
 }
 
 /// What the zone's relay said of its copies; null if it is not to be relied on
 /// or is this daemon.
-const PeerState* followed(const State& state, TimePoint now) {
+const PeerState* followed_relay(const State& state, TimePoint now) {
   const DaemonRecord& self = state.settings.self;
   auto relay = zone_relay(state, self.zone, now);
   if (!relay || *relay == self.name) return nullptr;
-  const PeerState& peer = state.fleet.heard.at(*relay);
+  const PeerState& peer = state.fleet.peers.at(*relay);
   const Heartbeat& heartbeat = peer.heartbeat;
   if (!heartbeat.view || heartbeat.store_unreachable_for.count() > 0)
     return nullptr;
-  Duration age = heartbeat.view->age + (now - peer.heard);
-  return age <= config::kViewAge ? &peer : nullptr;
+  Duration age = heartbeat.view->age + (now - peer.received_at);
+  return age <= config::kMaxRelayViewAge ? &peer : nullptr;
 }
 
-bool any_unknown(const State& state) {
+bool any_view_unread(const State& state) {
   return std::any_of(
       kStoreViews.begin(), kStoreViews.end(), [&](StoreView view) {
         auto found = state.views.find(view);
@@ -43,8 +43,8 @@
 void apply_changes(State& state, const StoreUpdate& update, TimePoint now,
                    Effects& effects) {
   if (update.since_outage) {
-    state.outage_ended =
-        std::max(state.outage_ended, now - *update.since_outage);
+    state.outage_ended_at =
+        std::max(state.outage_ended_at, now - *update.since_outage);
   }
   if (update.configuration) {
     adopt_configuration(state,
@@ -62,7 +62,7 @@
   }
 }
 
-bool is_empty(const StoreUpdate& update) {
+bool has_no_changes(const StoreUpdate& update) {
   return !update.configuration && update.servers.empty();
 }
 
@@ -76,7 +76,7 @@
       view.behind_since.reset();
     } else if (!view.behind_since) {
       view.behind_since = now;
-    } else if (now - *view.behind_since >= config::kViewBehind) {
+    } else if (now - *view.behind_since >= config::kOutdatedViewReadDelay) {
       view.behind_since = now;
       effects.emplace_back(CatchUp{kind, view.as_of});
       note(effects, "store_view_behind",
@@ -113,32 +113,33 @@
 
 bool should_watch(const State& state, TimePoint now) {
   // A daemon whose own calls fail has to notice when the store is back.
-  return store_unreachable_for(state, now).count() > 0 || any_unknown(state) ||
-         coordinates_any(state) || followed(state, now) == nullptr;
+  return store_unreachable_for(state, now).count() > 0 ||
+         any_view_unread(state) || coordinates_any(state) ||
+         followed_relay(state, now) == nullptr;
 }
 
 void on_view_listed(State& state, const ViewListed& listed, TimePoint now) {
   ViewState& view = state.views[listed.view];
   view.as_of = std::max(view.as_of, listed.as_of);
   // What a list changed is not known, so followers have to list as well.
-  view.changed = view.as_of;
-  view.answered = now;
+  view.last_change = view.as_of;
+  view.answered_at = now;
 }
 
 void on_store_changed(State& state, const StoreChanged& changed, TimePoint now,
                       Effects& effects) {
   StoreUpdate update = changed.update;
   ViewState& view = state.views[update.view];
-  update.base = view.changed;
-  if (near_outage(state, now)) {
-    update.since_outage = now - std::min(now, state.outage_ended);
+  update.base = view.last_change;
+  if (in_or_after_outage(state, now)) {
+    update.since_outage = now - std::min(now, state.outage_ended_at);
   }
-  view.answered = now;
+  view.answered_at = now;
   // Answered before changes that the relay has told since.
   if (update.as_of < view.as_of) return;
   view.as_of = std::max(view.as_of, update.as_of);
-  if (is_empty(update)) return;
-  view.changed = std::max(view.changed, update.as_of);
+  if (has_no_changes(update)) return;
+  view.last_change = std::max(view.last_change, update.as_of);
   if (is_zone_relay(state, now)) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
@@ -155,7 +156,7 @@
   // An update that does not connect to this copy shows as behind later on.
   if (update.as_of <= view.as_of || update.base > view.as_of) return;
   view.as_of = update.as_of;
-  view.changed = update.as_of;
+  view.last_change = update.as_of;
   view.behind_since.reset();
   apply_changes(state, update, now, effects);
 }
@@ -179,20 +180,20 @@
                    state.views[StoreView::kServers].as_of});
   }
   if (watch) return;
-  if (const PeerState* peer = followed(state, now)) {
+  if (const PeerState* peer = followed_relay(state, now)) {
     catch_up(state, *peer->heartbeat.view, now, effects);
   }
 }
 
 std::optional<Heartbeat::View> own_view(const State& state, TimePoint now) {
-  if (!state.watching || any_unknown(state) || !is_zone_relay(state, now)) {
+  if (!state.watching || any_view_unread(state) || !is_zone_relay(state, now)) {
     return std::nullopt;
   }
   const ViewState& configuration = state.views.at(StoreView::kConfiguration);
   const ViewState& servers = state.views.at(StoreView::kServers);
   return Heartbeat::View{
-      configuration.changed, servers.changed,
-      now - std::min(configuration.answered, servers.answered)};
+      configuration.last_change, servers.last_change,
+      now - std::min(configuration.answered_at, servers.answered_at)};
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -18,25 +18,27 @@
 
 bool may_relay(const State& state, const DaemonName& daemon, TimePoint now) {
   if (daemon == state.settings.self.name) return !state.stopping;
-  auto heard = state.fleet.heard.find(daemon);
-  return heard != state.fleet.heard.end() && is_alive(state, daemon, now) &&
-         !heard->second.heartbeat.stopping;
+  auto peer = state.fleet.peers.find(daemon);
+  return peer != state.fleet.peers.end() && is_alive(state, daemon, now) &&
+         !peer->second.heartbeat.stopping;
 }
 
 /// The relay of each other zone of the own region, or of other regions; every
 /// daemon of a zone of which none is heard.
-std::vector<Endpoint> relays(const State& state, bool far, TimePoint now) {
+std::vector<Endpoint> relay_addresses(const State& state, bool other_region,
+                                      TimePoint now) {
   const DaemonRecord& self = state.settings.self;
   std::set<ZoneName> zones;
-  for (const auto& [name, daemon] : state.fleet.known) {
-    if (daemon.zone != self.zone && (daemon.region != self.region) == far) {
+  for (const auto& [name, daemon] : state.fleet.daemon_records) {
+    if (daemon.zone != self.zone &&
+        (daemon.region != self.region) == other_region) {
       zones.insert(daemon.zone);
     }
   }
   std::vector<Endpoint> to;
   for (const ZoneName& zone : zones) {
     auto relay = zone_relay(state, zone, now);
-    for (const auto& [name, daemon] : state.fleet.known) {
+    for (const auto& [name, daemon] : state.fleet.daemon_records) {
       if (daemon.zone == zone && (!relay || *relay == name)) {
         to.push_back(daemon.peer);
       }
@@ -45,14 +47,15 @@
   return to;
 }
 
-HeartbeatBatch own_bundle(State& state, bool far, TimePoint now) {
+HeartbeatBatch own_batch(State& state, bool other_region, TimePoint now) {
   HeartbeatBatch batch;
   batch.relay = true;
-  batch.heartbeats.push_back(own_heartbeat(state, now, far));
-  bool full = ++state.fleet.bundles % config::kFullHeartbeats == 1;
-  for (const auto& [name, peer] : state.fleet.heard) {
-    auto known = state.fleet.known.find(name);
-    if (known == state.fleet.known.end() ||
+  batch.heartbeats.push_back(own_heartbeat(state, now, other_region));
+  bool full =
+      ++state.fleet.batches_sent % config::kHeartbeatsPerFullRecord == 1;
+  for (const auto& [name, peer] : state.fleet.peers) {
+    auto known = state.fleet.daemon_records.find(name);
+    if (known == state.fleet.daemon_records.end() ||
         known->second.zone != state.settings.self.zone ||
         !is_alive(state, name, now)) {
       continue;
@@ -62,12 +65,12 @@
     heartbeat.full = full;
     heartbeat.key_load_reports.clear();
     heartbeat.view.reset();
-    heartbeat.age = now - peer.heard;
-    if (far) {
+    heartbeat.age = now - peer.received_at;
+    if (other_region) {
       std::erase_if(heartbeat.loads, [&](const Heartbeat::Load& load) {
         auto server = state.servers.find(load.server);
         return server == state.servers.end() ||
-               !concerns_far(state, server->second);
+               !matters_to_other_regions(state, server->second);
       });
     }
     batch.heartbeats.push_back(std::move(heartbeat));
@@ -75,35 +78,39 @@
   return batch;
 }
 
-void send_bundle(State& state, bool far, TimePoint now, Effects& effects) {
-  std::vector<Endpoint> to = relays(state, far, now);
+void send_batch(State& state, bool other_region, TimePoint now,
+                Effects& effects) {
+  std::vector<Endpoint> to = relay_addresses(state, other_region, now);
   if (to.empty()) return;
   effects.emplace_back(
-      SendHeartbeatBatch{own_bundle(state, far, now), std::move(to)});
+      SendHeartbeatBatch{own_batch(state, other_region, now), std::move(to)});
 }
 
-using KeyWeights = std::map<ShardKey, double>;
-using Speeds = std::map<ServerName, Heartbeat::Speed>;
+using KeyLoads = std::map<ShardKey, double>;
+using ServiceTimes = std::map<ServerName, Heartbeat::MeasuredServiceTime>;
 
-void add_speed(Speeds& service_times, const Heartbeat::Speed& added) {
+void add_service_time(ServiceTimes& service_times,
+                      const Heartbeat::MeasuredServiceTime& added) {
   if (added.answer_count <= 0) return;
-  Heartbeat::Speed& speed =
+  Heartbeat::MeasuredServiceTime& measured =
       service_times
-          .try_emplace(added.server, Heartbeat::Speed{added.server, 0, {}})
+          .try_emplace(added.server,
+                       Heartbeat::MeasuredServiceTime{added.server, 0, {}})
           .first->second;
-  double answer_count = speed.answer_count + added.answer_count;
+  double answer_count = measured.answer_count + added.answer_count;
   double total =
-      speed.answer_count * static_cast<double>(speed.service_time.count()) +
+      measured.answer_count *
+          static_cast<double>(measured.service_time.count()) +
       added.answer_count * static_cast<double>(added.service_time.count());
-  speed = {added.server, answer_count,
-           Duration(static_cast<Duration::rep>(total / answer_count))};
+  measured = {added.server, answer_count,
+              Duration(static_cast<Duration::rep>(total / answer_count))};
 }
 
-void add_own_heat(const State& state, const ServiceName& service,
-                  KeyWeights& keys, Speeds& service_times) {
-  auto found = state.heat.find(service);
-  if (found != state.heat.end()) {
-    for (const auto& [key, weight] : found->second.weights) {
+void add_own_key_loads(const State& state, const ServiceName& service,
+                       KeyLoads& keys, ServiceTimes& service_times) {
+  auto found = state.key_loads.find(service);
+  if (found != state.key_loads.end()) {
+    for (const auto& [key, weight] : found->second.request_counts) {
       keys[ShardKey(key)] += weight;
     }
   }
@@ -112,51 +119,54 @@
   for (const ServerName& name : servers->second) {
     const ServerState& server = state.servers.at(name);
     if (server.answer_count >= 1) {
-      add_speed(service_times,
-                {name, server.answer_count, server.service_time});
+      add_service_time(service_times,
+                       {name, server.answer_count, server.service_time});
     }
   }
 }
 
 /// What the daemons of the own zone have reported to this one.
-void add_zone_heat(const State& state, const ServiceName& service,
-                   TimePoint now, KeyWeights& keys, Speeds& service_times) {
-  for (const auto& [name, peer] : state.fleet.heard) {
-    auto known = state.fleet.known.find(name);
-    if (known == state.fleet.known.end() ||
+void add_zone_key_loads(const State& state, const ServiceName& service,
+                        TimePoint now, KeyLoads& keys,
+                        ServiceTimes& service_times) {
+  for (const auto& [name, peer] : state.fleet.peers) {
+    auto known = state.fleet.daemon_records.find(name);
+    if (known == state.fleet.daemon_records.end() ||
         known->second.zone != state.settings.self.zone ||
-        now - peer.heat_heard > config::kHeatRetention) {
+        now - peer.key_loads_received_at > config::kMaxKeyLoadReportAge) {
       continue;
     }
-    for (const auto& heat : peer.heartbeat.key_load_reports) {
-      if (heat.service != service) continue;
-      for (const KeyLoad& key : heat.keys) keys[key.key] += key.weight;
-      for (const auto& speed : heat.service_times)
-        add_speed(service_times, speed);
+    for (const auto& report : peer.heartbeat.key_load_reports) {
+      if (report.service != service) continue;
+      for (const KeyLoad& key : report.keys) keys[key.key] += key.weight;
+      for (const auto& measured : report.service_times)
+        add_service_time(service_times, measured);
     }
   }
 }
 
-Heartbeat::KeyLoadReport heat_report(const State& state,
-                                     const ServiceName& service, bool for_zone,
-                                     TimePoint now) {
-  KeyWeights keys;
-  Speeds service_times;
-  add_own_heat(state, service, keys, service_times);
-  if (for_zone) add_zone_heat(state, service, now, keys, service_times);
-  Heartbeat::KeyLoadReport heat{service, {}, {}};
-  for (const auto& [key, weight] : keys) heat.keys.push_back({key, weight});
-  std::size_t kept = std::min(
-      heat.keys.size(), for_zone ? config::kRelayHeatKeys : config::kHeatKeys);
-  std::partial_sort(
-      heat.keys.begin(), heat.keys.begin() + static_cast<std::ptrdiff_t>(kept),
-      heat.keys.end(), [](const KeyLoad& left, const KeyLoad& right) {
-        return left.weight > right.weight;
-      });
-  heat.keys.resize(kept);
-  for (const auto& [name, speed] : service_times)
-    heat.service_times.push_back(speed);
-  return heat;
+Heartbeat::KeyLoadReport key_load_report(const State& state,
+                                         const ServiceName& service,
+                                         bool for_zone, TimePoint now) {
+  KeyLoads keys;
+  ServiceTimes service_times;
+  add_own_key_loads(state, service, keys, service_times);
+  if (for_zone) add_zone_key_loads(state, service, now, keys, service_times);
+  Heartbeat::KeyLoadReport report{service, {}, {}};
+  for (const auto& [key, weight] : keys) report.keys.push_back({key, weight});
+  std::size_t kept =
+      std::min(report.keys.size(), for_zone ? config::kMaxRelayReportedKeys
+                                            : config::kMaxReportedKeys);
+  std::partial_sort(report.keys.begin(),
+                    report.keys.begin() + static_cast<std::ptrdiff_t>(kept),
+                    report.keys.end(),
+                    [](const KeyLoad& left, const KeyLoad& right) {
+                      return left.weight > right.weight;
+                    });
+  report.keys.resize(kept);
+  for (const auto& [name, measured] : service_times)
+    report.service_times.push_back(measured);
+  return report;
 }
 
 }  // namespace
@@ -164,7 +174,7 @@
 std::optional<DaemonName> zone_relay(const State& state, const ZoneName& zone,
                                      TimePoint now) {
   const DaemonRecord* best = nullptr;
-  for (const auto& [name, daemon] : state.fleet.known) {
+  for (const auto& [name, daemon] : state.fleet.daemon_records) {
     if (daemon.zone != zone || !may_relay(state, name, now)) continue;
     if (best == nullptr || daemon.capacity > best->capacity) best = &daemon;
   }
@@ -180,7 +190,7 @@
 std::vector<Endpoint> zone_members(const State& state) {
   const DaemonRecord& self = state.settings.self;
   std::vector<Endpoint> to;
-  for (const auto& [name, daemon] : state.fleet.known) {
+  for (const auto& [name, daemon] : state.fleet.daemon_records) {
     if (name != self.name && daemon.zone == self.zone) {
       to.push_back(daemon.peer);
     }
@@ -188,18 +198,18 @@
   return to;
 }
 
-bool concerns_far(const State& state, const ServerState& server) {
+bool matters_to_other_regions(const State& state, const ServerState& server) {
   return is_keyed(state, server.server.service) ||
-         distance_to(state, server.server.zone) == Distance::kFar;
+         distance_to(state, server.server.zone) == Distance::kOtherRegion;
 }
 
-void on_bundle(State& state, const HeartbeatBatchReceived& received,
-               TimePoint now, Effects& effects) {
-  bool news = false;
+void on_heartbeat_batch(State& state, const HeartbeatBatchReceived& received,
+                        TimePoint now, Effects& effects) {
+  bool updated = false;
   for (const Heartbeat& heartbeat : received.batch.heartbeats) {
-    news = accept_heartbeat(state, heartbeat, now, effects) || news;
+    updated = accept_heartbeat(state, heartbeat, now, effects) || updated;
   }
-  if (!news) return;
+  if (!updated) return;
   if (received.batch.relay) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
@@ -211,37 +221,42 @@
   retry_waiting(state, now, effects);
 }
 
-void send_bundles(State& state, TimePoint now, Effects& effects) {
+void send_batches(State& state, TimePoint now, Effects& effects) {
   FleetState& fleet = state.fleet;
-  bool near_due = now - fleet.near_bundle_sent >= config::kNearBundle;
-  bool far_due = now - fleet.far_bundle_sent >= config::kFarBundle;
-  if ((!near_due && !far_due) || !is_zone_relay(state, now)) return;
-  if (near_due) {
-    fleet.near_bundle_sent = now;
-    send_bundle(state, false, now, effects);
+  bool own_region_due =
+      now - fleet.own_region_batch_at >= config::kOwnRegionBatchInterval;
+  bool other_region_due =
+      now - fleet.other_region_batch_at >= config::kOtherRegionBatchInterval;
+  if ((!own_region_due && !other_region_due) || !is_zone_relay(state, now))
+    return;
+  if (own_region_due) {
+    fleet.own_region_batch_at = now;
+    send_batch(state, false, now, effects);
   }
-  if (far_due) {
-    fleet.far_bundle_sent = now;
-    send_bundle(state, true, now, effects);
+  if (other_region_due) {
+    fleet.other_region_batch_at = now;
+    send_batch(state, true, now, effects);
   }
 }
 
-void send_heat(State& state, TimePoint now, Effects& effects) {
-  if (now - state.fleet.heat_sent < config::kHeatInterval) return;
-  state.fleet.heat_sent = now;
+void send_key_loads(State& state, TimePoint now, Effects& effects) {
+  if (now - state.fleet.key_loads_sent_at < config::kKeyLoadReportInterval)
+    return;
+  state.fleet.key_loads_sent_at = now;
   const DaemonRecord& self = state.settings.self;
   auto relay = zone_relay(state, self.zone, now);
   for (const auto& [service, map] : state.maps) {
-    if (!map.map || map.duty) continue;
-    auto to = state.fleet.known.find(map.map->coordinator);
-    if (to == state.fleet.known.end()) continue;
-    bool same_zone = to->second.zone == self.zone;
-    bool relays = relay == self.name && !same_zone;
-    if (!same_zone && !relays && relay) to = state.fleet.known.find(*relay);
-    bool far = to->second.region != self.region;
-    Heartbeat heartbeat = own_heartbeat(state, now, far);
+    if (!map.map || map.coordinator_role) continue;
+    auto to = state.fleet.daemon_records.find(map.map->coordinator);
+    if (to == state.fleet.daemon_records.end()) continue;
+    bool coordinator_in_zone = to->second.zone == self.zone;
+    bool sends_for_zone = relay == self.name && !coordinator_in_zone;
+    if (!coordinator_in_zone && !sends_for_zone && relay)
+      to = state.fleet.daemon_records.find(*relay);
+    bool other_region = to->second.region != self.region;
+    Heartbeat heartbeat = own_heartbeat(state, now, other_region);
     heartbeat.key_load_reports.push_back(
-        heat_report(state, service, relays, now));
+        key_load_report(state, service, sends_for_zone, now));
     effects.emplace_back(
         SendHeartbeat{std::move(heartbeat), {to->second.peer}});
   }
--- a/src/fleet/zone_relay.h
+++ b/src/fleet/zone_relay.h
@@ -21,16 +21,16 @@
 std::vector<Endpoint> zone_members(const State& state);
 
 /// Daemons of other zones, as their relay heard them.
-void on_bundle(State& state, const HeartbeatBatchReceived& received,
-               TimePoint now, Effects& effects);
+void on_heartbeat_batch(State& state, const HeartbeatBatchReceived& received,
+                        TimePoint now, Effects& effects);
 /// Passes on the heartbeats of the own zone, if this daemon is its relay.
-void send_bundles(State& state, TimePoint now, Effects& effects);
+void send_batches(State& state, TimePoint now, Effects& effects);
 /// Reports the heat of each keyed service towards its coordinator: to it from
 /// the relays and from its own zone, to the relay from other daemons.
-void send_heat(State& state, TimePoint now, Effects& effects);
+void send_key_loads(State& state, TimePoint now, Effects& effects);
 
 /// Other regions share few servers with this one besides those that own keys.
-bool concerns_far(const State& state, const ServerState& server);
+bool matters_to_other_regions(const State& state, const ServerState& server);
 
 }  // namespace eelgrasspin::fleet
 
--- a/tests/fleet_choice_test.cc
+++ b/tests/fleet_choice_test.cc
@@ -17,50 +17,52 @@
 
 TEST(FleetChoice, FreeSlotNearbyIsPreferredToAFasterServerFarAway) {
   std::vector<Candidate> candidates = {
-      server("far", Distance::kFar, 0, milliseconds(100)),
-      server("zone", Distance::kZone, 1),
-      server("region", Distance::kRegion, 0)};
+      server("far", Distance::kOtherRegion, 0, milliseconds(100)),
+      server("zone", Distance::kSameZone, 1),
+      server("region", Distance::kSameRegion, 0)};
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
 }
 
 TEST(FleetChoice, RegionIsUsedWhenTheZoneIsFull) {
-  std::vector<Candidate> candidates = {server("zone", Distance::kZone, 2),
-                                       server("region", Distance::kRegion, 1),
-                                       server("far", Distance::kFar, 0)};
+  std::vector<Candidate> candidates = {
+      server("zone", Distance::kSameZone, 2),
+      server("region", Distance::kSameRegion, 1),
+      server("far", Distance::kOtherRegion, 0)};
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
 }
 
 TEST(FleetChoice, FarServerIsWorthItOnlyWhenNearQueuesAreLong) {
-  std::vector<Candidate> candidates = {server("region", Distance::kRegion, 2),
-                                       server("far", Distance::kFar, 0)};
+  std::vector<Candidate> candidates = {
+      server("region", Distance::kSameRegion, 2),
+      server("far", Distance::kOtherRegion, 0)};
   EXPECT_EQ(choose(candidates, kObjective, 0), 0u);
   candidates[0].load = 4;
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
 }
 
 TEST(FleetChoice, FailingServerIsPassedOverButNotForEver) {
-  std::vector<Candidate> candidates = {server("bad", Distance::kZone, 0),
-                                       server("good", Distance::kZone, 1)};
-  candidates[0].success = 0.3;
+  std::vector<Candidate> candidates = {server("bad", Distance::kSameZone, 0),
+                                       server("good", Distance::kSameZone, 1)};
+  candidates[0].success_rate = 0.3;
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
-  candidates[0].success = 0.95;
+  candidates[0].success_rate = 0.95;
   candidates[1].load = 4;
   EXPECT_EQ(choose(candidates, kObjective, 0), 0u);
 }
 
 TEST(FleetChoice, NoServerIsSentMoreThanItsSlotsAndAShortQueue) {
   std::vector<Candidate> candidates = {
-      server("full", Distance::kZone, 2 + config::kServerQueue)};
+      server("full", Distance::kSameZone, 2 + config::kMaxServerQueue)};
   EXPECT_FALSE(choose(candidates, kObjective, 0));
   EXPECT_FALSE(choose({}, kObjective, 0));
 }
 
 TEST(FleetChoice, RetryAfterStaysWithinWhatCallersHonour) {
-  std::vector<Candidate> candidates = {server("full", Distance::kZone, 20)};
+  std::vector<Candidate> candidates = {server("full", Distance::kSameZone, 20)};
   Duration left = milliseconds(2000);
   EXPECT_EQ(retry_after(candidates, left), milliseconds(600));
   candidates[0].load = 0;
-  EXPECT_EQ(retry_after(candidates, left), config::kLeastRetryAfter);
+  EXPECT_EQ(retry_after(candidates, left), config::kMinRetryAfter);
   EXPECT_EQ(retry_after({}, left), milliseconds(600));
   EXPECT_EQ(retry_after(candidates, Duration(0)), Duration(0));
 }
@@ -86,7 +88,7 @@
     std::vector<Candidate> candidates;
     for (Busy& busy : servers) {
       std::erase_if(busy.ends, [now](Duration end) { return end <= now; });
-      candidates.push_back({ServerName("s"), Distance::kZone, 2,
+      candidates.push_back({ServerName("s"), Distance::kSameZone, 2,
                             static_cast<std::uint32_t>(busy.ends.size()),
                             busy.each, 1.0});
     }
--- a/tests/fleet_placement_test.cc
+++ b/tests/fleet_placement_test.cc
@@ -38,8 +38,8 @@
   for (const PlacedServer& server : input.servers) {
     double load = 0;
     for (const KeyRange& range : input.ranges) {
-      if (range.owner != server.life) continue;
-      for (const auto& [key, heat] : input.heat) {
+      if (range.owner != server.incarnation) continue;
+      for (const auto& [key, heat] : input.request_rates) {
         if (range.first <= key && key <= range.last) load += heat;
       }
     }
@@ -61,7 +61,7 @@
 TEST(FleetPlacement, HotRunOfNeighboursIsSharedOut) {
   PlacementInput input = input_of(6);
   for (std::uint32_t key = 47'400; key < 47'600; ++key) {
-    input.heat[ShardKey(key)] = 0.3;
+    input.request_rates[ShardKey(key)] = 0.3;
   }
   EXPECT_GT(worst_level(input), 4.0);
   for (int look = 0; look < 3; ++look) carry_out(input, plan_moves(input));
@@ -72,9 +72,9 @@
 /// Load: one key with more than one server of the usual speed can serve.
 TEST(FleetPlacement, HottestKeyGoesToTheFastestServerAndTheRestMakesRoom) {
   PlacementInput input = input_of(4, {8.0, 8.0, 20.0, 8.0});
-  input.heat[ShardKey(100)] = 18.0;
-  input.heat[ShardKey(120)] = 3.0;
-  input.heat[ShardKey(40'000)] = 4.0;
+  input.request_rates[ShardKey(100)] = 18.0;
+  input.request_rates[ShardKey(120)] = 3.0;
+  input.request_rates[ShardKey(40'000)] = 4.0;
   for (int look = 0; look < 3; ++look) carry_out(input, plan_moves(input));
   OwnerMap map;
   map.ranges = input.ranges;
@@ -88,26 +88,27 @@
 TEST(FleetPlacement, HeatIsSharedOutOverALargeFleet) {
   PlacementInput input = input_of(180);
   for (std::uint32_t key = 20'000; key < 22'000; key += 2) {
-    input.heat[ShardKey(key)] = 1.2;
+    input.request_rates[ShardKey(key)] = 1.2;
   }
   EXPECT_GT(worst_level(input), 15.0);
   for (int look = 0; look < 16; ++look) carry_out(input, plan_moves(input));
   EXPECT_LT(worst_level(input), 1.3);
-  EXPECT_LE(input.ranges.size(), most_ranges(180) + 2 * moves_per_look(180));
+  EXPECT_LE(input.ranges.size(),
+            max_ranges(180) + 2 * max_moves_per_round(180));
   EXPECT_TRUE(covers_all_keys(input.ranges));
 }
 
 TEST(FleetPlacement, EvenLoadMovesNothing) {
   PlacementInput input = input_of(4);
   for (std::uint32_t key = 0; key < 65'536; key += 256) {
-    input.heat[ShardKey(key)] = 0.1;
+    input.request_rates[ShardKey(key)] = 0.1;
   }
   EXPECT_TRUE(plan_moves(input).empty());
 }
 
 TEST(FleetPlacement, LittleLoadMovesNothing) {
   PlacementInput input = input_of(4);
-  input.heat[ShardKey(3)] = 1.0;
+  input.request_rates[ShardKey(3)] = 1.0;
   EXPECT_TRUE(plan_moves(input).empty());
 }
 
@@ -122,7 +123,7 @@
 TEST(FleetPlacement, KeysThatMovedLatelyStayWhereTheyAre) {
   PlacementInput input = input_of(4);
   for (std::uint32_t key = 100; key < 120; ++key) {
-    input.heat[ShardKey(key)] = 2.0;
+    input.request_rates[ShardKey(key)] = 2.0;
   }
   input.movable.assign(input.ranges.size(), false);
   EXPECT_TRUE(plan_moves(input).empty());
@@ -147,7 +148,7 @@
   PlacementInput input = input_of(count);
   auto keys = *rc::gen::container<std::vector<std::uint32_t>>(
       rc::gen::inRange<std::uint32_t>(0, 65'536));
-  for (std::uint32_t key : keys) input.heat[ShardKey(key)] += 3.0;
+  for (std::uint32_t key : keys) input.request_rates[ShardKey(key)] += 3.0;
   for (const Move& move : plan_moves(input)) {
     assign(input.ranges, move, Epoch(2));
   }
--- a/tests/fleet_requests_test.cc
+++ b/tests/fleet_requests_test.cc
@@ -210,19 +210,19 @@
     apply(DaemonSeen{{DaemonName("p" + std::to_string(i)), Incarnation(1),
                       ZoneName("z"), RegionName("r"), Endpoint("10.0.1.1:7")}});
   }
-  std::size_t repeats = 0;
+  std::size_t retries = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
     std::size_t before = sends_.size();
     request(id, "/safe/x");
     if (sends_.size() == before) continue;
     end(AttemptResult::kNotRun, 503);
     if (sends_.size() == before + 2) {
-      ++repeats;
+      ++retries;
       end(AttemptResult::kAnswered, 200);
     }
   }
-  EXPECT_LE(repeats, 25u);  // 0.2 x 100 + 60 / 12
-  EXPECT_GE(repeats, 15u);
+  EXPECT_LE(retries, 25u);  // 0.2 x 100 + 60 / 12
+  EXPECT_GE(retries, 15u);
 }
 
 TEST_F(FleetRequests, DeadlineToldIsNeverLongerThanTheRoutesTimeout) {
@@ -301,7 +301,7 @@
   configure();
   add("s1", kDesk);
   for (std::uint64_t id = 1; id <= 7; ++id) request(id, "/safe/x");
-  EXPECT_EQ(sends_.size(), 2u + config::kServerQueue);
+  EXPECT_EQ(sends_.size(), 2u + config::kMaxServerQueue);
   EXPECT_TRUE(answers_.empty());
   pass(milliseconds(200));
   EXPECT_EQ(answers_.size(), 7u - sends_.size());
@@ -322,7 +322,7 @@
   EXPECT_EQ(sends_.size(), 1u);
   now_ += seconds(5);
   apply(StoreAnswered());
-  pass(config::kRegistryReturn + milliseconds(100));
+  pass(config::kRegistryRecoveryTime + milliseconds(100));
   request(2, "/safe/x");
   EXPECT_EQ(sends_.size(), 1u);
 }
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -95,7 +95,8 @@
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
       if (!daemons_[i].state || daemons_[i].frozen) continue;
       auto map = daemons_[i].state->maps.find(kBoard);
-      if (map != daemons_[i].state->maps.end() && map->second.duty) return i;
+      if (map != daemons_[i].state->maps.end() && map->second.coordinator_role)
+        return i;
     }
     return std::nullopt;
   }
@@ -135,9 +136,9 @@
     for (const Event& event : held) apply(daemon, event);
   }
   void heat(std::size_t daemon, std::uint32_t key, double weight) {
-    HeatState& heat = state(daemon).heat[kBoard];
-    if (heat.weights.empty()) heat.decayed = now_;
-    heat.weights[key] += weight;
+    KeyLoadState& heat = state(daemon).key_loads[kBoard];
+    if (heat.request_counts.empty()) heat.decayed_at = now_;
+    heat.request_counts[key] += weight;
   }
   void restart_server(std::size_t index) {
     servers_[index].entry.incarnation = Incarnation(++incarnations_);
--- a/tests/store_view_test.cc
+++ b/tests/store_view_test.cc
@@ -81,7 +81,7 @@
 }
 
 /// A relay that is cut off from the store, frozen or lost must not keep the
-/// others from a change for longer than kViewAge.
+/// others from a change for longer than kMaxRelayViewAge.
 TEST_F(StoreViewTest, WatchesAgainOnceTheRelaysCopyIsOld) {
   hear(heartbeat(Version(10), milliseconds(300)));
   tick_for(milliseconds(200));
@@ -124,7 +124,8 @@
   reduce(state_, StoreUpdateReceived{update(Version(12), Version(15))}, now_);
   EXPECT_EQ(state_.servers.count(ServerName("s")), 0u);
   hear(heartbeat(Version(15), Duration(0)));
-  Effects effects = tick_for(config::kViewBehind + config::kTickInterval * 2);
+  Effects effects =
+      tick_for(config::kOutdatedViewReadDelay + config::kTickInterval * 2);
   EXPECT_EQ(count<CatchUp>(effects), 1u);
   reduce(state_, StoreChanged{update(Version(), Version(16))}, now_);
   EXPECT_EQ(count<CatchUp>(tick_for(milliseconds(400))), 0u);
@@ -138,7 +139,7 @@
   removal.since_outage = milliseconds(700);
   reduce(state_, StoreUpdateReceived{removal}, now_);
   EXPECT_FALSE(state_.servers.at(ServerName("s")).removed);
-  tick_for(config::kRegistryReturn - milliseconds(700) +
+  tick_for(config::kRegistryRecoveryTime - milliseconds(700) +
            config::kTickInterval * 2);
   EXPECT_TRUE(state_.servers.at(ServerName("s")).removed);
 }
@@ -154,7 +155,8 @@
   TimePoint back = now_;
   tick_for(milliseconds(1200));
   reduce(state_, ServersListed{{}, Version(40)}, now_);
-  tick_for(config::kRegistryReturn + config::kTickInterval * 2 - (now_ - back));
+  tick_for(config::kRegistryRecoveryTime + config::kTickInterval * 2 -
+           (now_ - back));
   EXPECT_TRUE(state_.servers.at(ServerName("s")).removed);
 }
 
@@ -174,7 +176,8 @@
   hear(heartbeat(Version(10), Duration(0)));
   tick_for(config::kTickInterval);
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
-  Effects effects = tick_for(config::kViewAge + config::kTickInterval * 2);
+  Effects effects =
+      tick_for(config::kMaxRelayViewAge + config::kTickInterval * 2);
   ASSERT_EQ(count<WatchStore>(effects), 1u);
   for (const Effect& effect : effects) {
     if (const auto* watch = std::get_if<WatchStore>(&effect)) {
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -84,7 +84,7 @@
   }
   world.run_for(milliseconds(1300));
   double reported = 0;
-  for (const auto& [name, peer] : world.state(*coordinator).fleet.heard) {
+  for (const auto& [name, peer] : world.state(*coordinator).fleet.peers) {
     for (const auto& heat : peer.heartbeat.key_load_reports) {
       for (const KeyLoad& key : heat.keys) {
         if (key.key == ShardKey(500)) reported += key.weight;
@@ -100,7 +100,7 @@
   FleetWorld world(3, 4, 1, 1);
   world.run_for(seconds(1));
   State& state = world.state(0);
-  state.fleet.known[daemon(2)].capacity = 500;
+  state.fleet.daemon_records[daemon(2)].capacity = 500;
   EXPECT_EQ(zone_relay(state, FleetWorld::zone(0), world.now()), daemon(2));
 }
 
