--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -9,30 +9,30 @@
 
 namespace eelgrasspin::fleet {
 
-/// Sends a request to a server; ends in one AttemptEnded.
+/// Sends a request to a server. Exactly one AttemptEnded follows.
 struct SendAttempt {
   AttemptId id;
   RequestId request;
   ServerName server;
   Endpoint address;
-  Duration time_left{0};         ///< Told to the server.
-  Duration response_timeout{0};  ///< After it the attempt ends as kTimedOut.
+  Duration time_left{0};         ///< Remaining time that the server is told.
+  Duration response_timeout{0};  ///< The attempt ends as kTimedOut after it.
   bool repeatable = false;
 };
-/// Closes the attempt's connection; no AttemptEnded follows.
+/// Closes the connection of an attempt. No AttemptEnded follows.
 struct CancelAttempt {
   AttemptId id;
 };
-/// Passes a server's answer to the caller.
+/// Forwards a server's answer to the caller.
 struct RelayAnswer {
   RequestId request;
   std::shared_ptr<const ServerAnswer> answer;
 };
-/// Ends a request with an answer of our own.
+/// Ends a request with an answer of this daemon.
 struct AnswerCaller {
   RequestId request;
   int status = 503;
-  Duration retry_after{0};  ///< 0: none is named.
+  Duration retry_after{0};  ///< 0: no Retry-After header.
   std::string_view reason;
 };
 struct SendHeartbeat {
@@ -51,30 +51,31 @@
   StoreUpdate update;
   std::vector<Endpoint> to;
 };
-/// Watches the store for changes, or stops to. Each change is told in a
-/// StoreChanged.
+/// Starts or stops watching the store for changes. A StoreChanged follows for
+/// each answer of the watch.
 struct WatchStore {
   bool on = true;
-  Duration wait{0};  ///< Longest time until the store answers.
+  Duration wait{0};  ///< The store answers at the latest after this time.
   /// The copies are complete up to these revisions.
   Version configuration_as_of;
   Version servers_as_of;
 };
-/// Asks the store once for the changes of one part.
+/// Reads the changes of one part from the store, once.
 struct CatchUp {
   StoreView view = StoreView::kServers;
-  Version as_of;  ///< The copy is complete up to it.
+  Version as_of;  ///< The copy is complete up to this revision.
 };
-/// Writes the map if the store still has it at `expected` (0: absent).
+/// Writes the map if the store still has revision `expected` of it (0: no map).
+/// Exactly one MapWriteEnded follows.
 struct WriteMap {
   OwnerMap map;
   Version expected;
 };
-/// Reads the map again; answers with MapSeen or MapMissing.
+/// Reads the map from the store. MapSeen or MapMissing follows if it answers.
 struct ReadMap {
   ServiceName service;
 };
-/// Grants or renews keys; ends in one OrderEnded.
+/// Grants keys to a server or renews the grant. Exactly one OrderEnded follows.
 struct GrantKeys {
   std::uint64_t order = 0;
   ServerName server;
@@ -82,10 +83,10 @@
   ShardKey first;
   ShardKey last;
   Epoch epoch;
-  Duration hold{0};
-  std::string handover;
+  Duration hold{0};      ///< Duration of the grant.
+  std::string handover;  ///< From the release of the previous owner, or empty.
 };
-/// Takes keys back; ends in one OrderEnded.
+/// Takes keys back from a server. Exactly one OrderEnded follows.
 struct ReleaseKeys {
   std::uint64_t order = 0;
   ServerName server;
@@ -94,7 +95,7 @@
   ShardKey last;
   Epoch epoch;
 };
-/// A line for the log: what was decided, from what.
+/// A log line: what was decided and on what grounds.
 struct Note {
   std::string_view event;
   std::vector<std::pair<std::string_view, std::string>> fields;
--- a/src/fleet/event.h
+++ b/src/fleet/event.h
@@ -15,7 +15,7 @@
 /// Every readable entry of the registry.
 struct ServersListed {
   std::vector<Server> servers;
-  Version as_of;  ///< Revision of the store; 0 if it is not known.
+  Version as_of;  ///< Revision of the store; 0 if unknown.
 };
 struct ServerSeen {
   Server server;
@@ -23,12 +23,13 @@
 struct ServerRemoved {
   ServerName name;
 };
-/// A part of the store was listed; what it held was told before.
+/// A part of the store has been listed completely; its entries came in events
+/// before this one.
 struct ViewListed {
   StoreView view = StoreView::kServers;
   Version as_of;
 };
-/// The store's answer to a watch; without changes if its wait was over.
+/// The store's answer to a watch; without changes if its wait expired.
 struct StoreChanged {
   StoreUpdate update;
 };
@@ -44,8 +45,8 @@
 };
 enum class WriteOutcome : std::uint8_t {
   kWritten,
-  kConflict,      ///< Not written; the map as it is follows as MapSeen.
-  kWriteRefused,  ///< The store refused; nothing was written.
+  kConflict,      ///< Not written; the store has another revision.
+  kWriteRefused,  ///< The store refused the write; nothing was written.
   kUnknown,       ///< No answer: it may be written now, later or never.
 };
 struct MapWriteEnded {
@@ -53,7 +54,9 @@
   WriteOutcome outcome = WriteOutcome::kUnknown;
   Version revision;  ///< After kWritten.
 };
+/// A call to the store was answered.
 struct StoreAnswered {};
+/// A call to the store was not answered.
 struct StoreFailed {
   std::string why;
 };
@@ -67,7 +70,7 @@
   HeartbeatBatch batch;
 };
 
-/// Changes of the store that the zone's relay has seen.
+/// Changes of the store that the zone's relay has sent.
 struct StoreUpdateReceived {
   StoreUpdate update;
 };
@@ -79,25 +82,26 @@
 // From callers.
 struct RequestReceived {
   RequestId id;
-  std::string caller_request_id;  ///< The caller's name for the request.
+  std::string caller_request_id;  ///< As the caller named it.
   std::string host;
   std::string path;  ///< Without the query.
   std::optional<ShardKey> key;
-  std::optional<Duration> deadline;
+  std::optional<Duration> deadline;  ///< Time from now that the caller allows.
   Fingerprint fingerprint;
 };
+/// The caller has closed the connection of its request.
 struct CallerLeft {
   RequestId id;
 };
 
 // From backend servers.
 enum class AttemptResult : std::uint8_t {
-  kAnswered,    ///< A whole answer that belongs to the request.
-  kNotRun,      ///< The server states that it did not run the request.
-  kWrongOwner,  ///< Not run: another server, or the key is not held.
-  kNotSent,     ///< No connection; not a byte was sent.
+  kAnswered,    ///< A complete answer that belongs to the request.
+  kNotRun,      ///< The server states that it has not run the request.
+  kWrongOwner,  ///< Not run: not the server meant, or not its key.
+  kNotSent,     ///< No connection; nothing was sent.
   kAnswerLost,  ///< Sent; the connection ended or the answer is unusable.
-  kTimedOut,    ///< Sent; no answer in time.
+  kTimedOut,    ///< Sent; no answer within the response timeout.
 };
 struct AttemptEnded {
   AttemptId id;
@@ -109,24 +113,25 @@
 };
 enum class OrderResult : std::uint8_t {
   kDone,
-  kOtherServer,  ///< Another server has the address and knows no such order.
-  kFenced,       ///< The server has seen a higher epoch on one of the keys.
-  kInvalid,      ///< The server does not accept the order as it stands.
+  kOtherServer,  ///< Another server at the address has answered.
+  kFenced,       ///< The server has seen a higher epoch for one of the keys.
+  kInvalid,      ///< The server rejects the order as invalid.
   kNotSent,      ///< No connection in time; nothing was sent.
   kNoListener,   ///< The connection was refused; nothing was sent.
-  kUnanswered,   ///< It may have been carried out, or may be later.
+  kUnanswered,   ///< The order may have been carried out, or may be later.
 };
 struct OrderEnded {
   std::uint64_t order = 0;
   OrderResult result = OrderResult::kUnanswered;
-  std::string handover;  ///< Of an answered release.
+  std::string handover;  ///< From the answer to a release.
   std::string why;
 };
 
 // From the process.
 struct Tick {};
+/// The daemon has been ordered to stop.
 struct StopOrdered {};
-/// The process stood still for this long.
+/// The process was paused for this long.
 struct Resumed {
   Duration gap{0};
 };
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -14,14 +14,15 @@
 #include "eelgrasspin/units.h"
 
 /// Routing and key ownership for a fleet of equal daemons that share one object
-/// store. Decisions only: no I/O, no clock.
+/// store. This part only decides: it does no I/O and reads no clock.
 namespace eelgrasspin::fleet {
 
 /// Position of a request in its service's key space.
 using ShardKey = Number<struct ShardKeyTag, std::uint32_t>;
 inline constexpr std::uint32_t kMaxShardKey = 65'535;
 
-/// One of the services that a route may choose, with its share.
+/// One of the services that a route may choose. Its share of the requests is
+/// its weight over the sum of the weights.
 struct Destination {
   ServiceName service;
   std::uint32_t weight = 1;
@@ -30,10 +31,10 @@
 struct Route {
   std::string name;
   std::string host;
-  std::string prefix;  ///< Begins and ends with a slash.
-  bool repeatable = false;
+  std::string prefix;          ///< Begins and ends with a slash.
+  bool repeatable = false;     ///< A request may be run more than once.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  Duration objective{0};       ///< An answer within it is on time.
+  Duration objective{0};       ///< An answer within this time is on time.
   Duration timeout{0};         ///< Longest time until the final answer.
   std::uint32_t attempts = 1;  ///< Servers that one request may be sent to.
   std::vector<Destination> destinations;
@@ -51,7 +52,7 @@
   Duration idle_timeout{0};
 };
 
-/// One version of the operator's configuration. Never changed once adopted.
+/// One version of the operator's configuration. Immutable once adopted.
 struct Configuration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
@@ -66,12 +67,12 @@
   ServiceName service;
   ZoneName zone;
   std::uint32_t slots = 1;
-  Incarnation incarnation;  ///< Differs between two starts under one name.
+  Incarnation incarnation;  ///< Changes with each start under the same name.
   bool draining = false;
-  Duration warm_up_left{0};  ///< Slow for this much longer, when last written.
+  Duration warm_up_left{0};  ///< Remaining warm-up time when last written.
 };
 
-/// One life of a backend server.
+/// A backend server between one start and its end.
 struct ServerIncarnation {
   ServerName name;
   Incarnation incarnation;
@@ -84,8 +85,8 @@
   ShardKey last;
   ServerIncarnation owner;
   Epoch epoch;
-  /// Not empty while the keys are on the way to `owner`: the lives that may
-  /// still hold them.
+  /// Former owners that may still hold the keys; empty once `owner` has been
+  /// granted them.
   std::vector<ServerIncarnation> previous_owners;
   bool operator==(const KeyRange&) const = default;
 };
@@ -97,87 +98,92 @@
   Incarnation coordinator_incarnation;
   TermEpoch term;                ///< Rises with each change of the coordinator.
   Epoch next_epoch{1};           ///< Above every epoch used so far.
-  std::vector<KeyRange> ranges;  ///< Sorted, without gaps.
+  std::vector<KeyRange> ranges;  ///< Sorted, without gaps; cover all keys.
   bool operator==(const OwnerMap&) const = default;
 };
 
-/// The range that holds the key; null if the map has none.
+/// The range that contains the key; null if the map has none.
 const KeyRange* find_range(const OwnerMap& map, ShardKey key);
 
-/// A daemon of the fleet, as it announces itself.
+/// A daemon of the fleet, as it announces itself to the others.
 struct DaemonRecord {
   DaemonName name;
   Incarnation incarnation;
   ZoneName zone;
   RegionName region;
-  Endpoint peer;  ///< Where it receives datagrams.
-  /// Thousandths of a processor core; duties go to daemons that have most.
+  Endpoint peer;  ///< Address at which it receives datagrams.
+  /// Thousandths of a processor core. Daemons with more capacity are preferred
+  /// as coordinators and relays.
   std::uint32_t capacity = 0;
   bool operator==(const DaemonRecord&) const = default;
 };
 
-/// Requests of one daemon for one key, decayed over time.
+/// Exponentially decayed number of one daemon's requests for one key.
 struct KeyLoad {
   ShardKey key;
   double weight = 0;
 };
 
-/// Tells requests apart by caller, target and body; equal for a repeat.
+/// Identifies a request by caller, target and body; equal if the caller sends
+/// the same request again.
 using Fingerprint = Number<struct FingerprintTag>;
 
-/// A request was at a server when it crashed.
+/// States that a request was running at a server when the server crashed.
 struct Strike {
   Fingerprint request;
   ServerIncarnation server;
 };
 
-/// What a daemon tells the others, several times a second.
+/// State of a daemon that it sends to the others several times a second.
 struct Heartbeat {
   DaemonRecord daemon;
-  /// Zone, region and address are left out of most heartbeats.
+  /// Whether `daemon` has zone, region and address; most heartbeats leave them
+  /// out.
   bool full = true;
   std::uint64_t sequence = 0;
   bool stopping = false;
-  /// For how long the store has failed to answer; 0 while it answers.
+  /// Time since the last answer of the store if the last call to it failed,
+  /// else 0.
   Duration store_unreachable_for{0};
   struct Term {
     ServiceName service;
-    TermEpoch term;  ///< The highest that it knows of.
-    Duration coordinator_heartbeat_age{
-        0};            ///< Since it last heard that coordinator.
-    Version revision;  ///< Of its map.
+    TermEpoch term;  ///< The highest that the daemon knows of.
+    /// Since it last received a heartbeat of the coordinator.
+    Duration coordinator_heartbeat_age{0};
+    Version revision;  ///< Of the map that the daemon has.
   };
   std::vector<Term> terms;
   struct Load {
     ServerName server;
     std::uint32_t in_flight = 0;
   };
-  std::vector<Load> loads;  ///< Only servers it has requests at.
+  std::vector<Load> loads;  ///< Only servers that it has requests at.
   struct MeasuredServiceTime {
     ServerName server;
-    double answer_count = 0;   ///< Decayed count.
-    Duration service_time{0};  ///< Their mean.
+    double answer_count = 0;   ///< Decayed number of answers.
+    Duration service_time{0};  ///< Mean over these answers.
   };
-  /// Only in heartbeats to the coordinator of the service.
+  /// Only in heartbeats to the coordinator of the service or to the zone's
+  /// relay.
   struct KeyLoadReport {
     ServiceName service;
     std::vector<KeyLoad> keys;
     std::vector<MeasuredServiceTime> service_times;
   };
   std::vector<KeyLoadReport> key_load_reports;
-  std::vector<Strike> strikes;  ///< Of the last seconds.
-  /// How current the copy of a daemon is that others follow.
+  std::vector<Strike> strikes;  ///< Those of the last kStrikeAnnouncementTime.
+  /// How current a zone relay's copies of the store are.
   struct View {
-    Version configuration;  ///< Revision of the last change.
-    Version servers;
-    Duration age{0};  ///< Since the store last answered.
+    Version configuration;  ///< Store revision of its last change.
+    Version servers;        ///< Store revision of their last change.
+    Duration age{0};        ///< Since the store last answered.
   };
-  std::optional<View> view;  ///< Only of a zone's relay.
-  /// Only in a bundle: time since the daemon that passes it on received it.
+  std::optional<View> view;  ///< Set only by a zone's relay.
+  /// Only in a batch: time since the forwarding daemon received the heartbeat.
   Duration age{0};
 };
 
-/// The parts of the store that every daemon keeps a copy of.
+/// The parts of the store of which every daemon keeps a copy.
 enum class StoreView : std::uint8_t { kConfiguration, kServers };
 inline constexpr std::array<StoreView, 2> kStoreViews = {
     StoreView::kConfiguration, StoreView::kServers};
@@ -185,27 +191,29 @@
 /// Changes of one part of the store.
 struct StoreUpdate {
   StoreView view = StoreView::kServers;
-  /// A copy that is at least as new is complete after the changes.
+  /// A copy at this revision or a later one is complete after the changes.
   Version base;
-  Version as_of;  ///< Revision of the store that they lead to.
-  /// The newest one; null if there is none.
+  Version as_of;  ///< Revision of the store after the changes.
+  /// The newest configuration; null if it has not changed.
   std::shared_ptr<const Configuration> configuration;
   Version configuration_revision;
-  /// Entries written, and names of entries removed, in the order of changes.
+  /// Entries written and names of entries removed, in the order of the
+  /// changes.
   std::vector<std::variant<Server, ServerName>> servers;
-  /// Since the store was back in reach of the sender, if that is a moment ago:
-  /// entries may have lapsed in the outage.
+  /// Time since the sender reached the store again, if that was a moment ago:
+  /// entries may have expired during the outage.
   std::optional<Duration> since_outage;
 };
 
-/// Heartbeats of one availability zone's daemons, passed on to another zone.
+/// Heartbeats of the daemons of one availability zone, forwarded to another
+/// zone.
 struct HeartbeatBatch {
   std::vector<Heartbeat> heartbeats;
-  /// The receiver passes it on to the daemons of its zone.
+  /// The receiver has to forward the batch to the daemons of its zone.
   bool relay = false;
 };
 
-/// What a coordinator changed in its map, told to all daemons at once.
+/// Change that a coordinator made to its map; sent to all daemons at once.
 struct MapChange {
   ServiceName service;
   Version base;      ///< Revision of the map that was changed.
@@ -214,17 +222,18 @@
   Incarnation coordinator_incarnation;
   TermEpoch term;
   Epoch next_epoch{1};
-  std::vector<KeyRange> ranges;  ///< Those that differ; they replace others.
+  /// Changed ranges; they replace the ranges that they overlap.
+  std::vector<KeyRange> ranges;
 };
 
-/// The ranges of `after` that `before` does not have.
+/// The change that turns `before` at revision `base` into `after`.
 MapChange change_between(const OwnerMap& before, Version base,
                          const OwnerMap& after, Version revision);
-/// The map after a change; empty if the change does not fit the map.
+/// The map after a change; empty if the ranges would not cover all keys.
 std::optional<OwnerMap> apply_change(const OwnerMap& map,
                                      const MapChange& change);
 
-/// Answer of a server as the shell received it; the core never looks inside.
+/// Answer of a server as the shell received it; opaque to this part.
 struct ServerAnswer;
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/settings.h
+++ b/src/fleet/settings.h
@@ -9,23 +9,23 @@
 
 namespace eelgrasspin::fleet {
 
-/// What a daemon is told when it starts.
+/// Settings of a daemon, read at its start.
 struct Settings {
   DaemonRecord self;
-  /// Regions of all availability zones.
+  /// Region of each availability zone.
   std::map<ZoneName, RegionName> regions;
-  /// Daemons to announce itself to before the store has answered.
+  /// Addresses of daemons to send heartbeats to before the store has answered.
   std::vector<Endpoint> seeds;
-  /// From the order to stop until the process is killed.
+  /// Time from the order to stop until the process is killed.
   Duration stop_timeout = seconds(6);
-  /// Longest hold that a server grants.
+  /// Longest duration of a grant that a server accepts.
   Duration hold_max = seconds(10);
-  /// Delivery of a grant may be late by this much after a pause.
+  /// By this much a grant may be delivered late after a pause of the server.
   Duration thaw_slack = milliseconds(300);
-  /// Repeated sends allowed to one service in `retry_window`, by all daemons
-  /// together: this share of its requests ...
+  /// All daemons together may send this share of a service's requests as
+  /// retries within `retry_window`.
   double retry_ratio = 0.2;
-  /// ... plus this many.
+  /// Retries that are allowed in addition to that share.
   std::uint32_t retry_slack = 60;
   Duration retry_window = seconds(10);
 };
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -16,38 +16,43 @@
 
 namespace eelgrasspin::fleet {
 
-/// A backend server and what this daemon has learnt of it.
+/// A backend server, as the registry lists it, and what this daemon has
+/// measured of it.
 struct ServerState {
   Server server;
   TimePoint read_at;     ///< When the entry was last read.
-  TimePoint joined_at;   ///< When this life was first read.
-  bool leaving = false;  ///< Draining, or gone from the registry.
+  TimePoint joined_at;   ///< When this incarnation was first read.
+  bool leaving = false;  ///< Draining, or removed.
   TimePoint leaving_since;
-  bool removed = false;  ///< Gone from the registry.
-  /// The entry lapsed around an outage of the store and may return until then.
+  bool removed = false;  ///< No longer in the registry.
+  /// The entry expired around an outage of the store and may return until then.
   std::optional<TimePoint> may_return_until;
-  std::uint32_t in_flight = 0;  ///< Requests of this daemon.
-  Duration service_time{0};     ///< Running mean; 0 until the first answer.
-  double success_rate = 1.0;    ///< Running rate of useful outcomes.
+  std::uint32_t in_flight = 0;  ///< Requests of this daemon at the server.
+  Duration service_time{0};     ///< Moving average; 0 until an answer.
+  double success_rate = 1.0;    ///< Moving average of successes.
   TimePoint success_rate_at;
-  TimePoint blocked_until;  ///< No connection could be made.
-  double answer_count = 0;  ///< Decayed count behind `service_time`.
+  /// The server is not chosen until then, because a connection failed.
+  TimePoint blocked_until;
+  double answer_count = 0;  ///< Decayed number of answers measured.
   TimePoint answer_count_at;
 };
 
+/// The last heartbeat of another daemon.
 struct PeerState {
   Heartbeat heartbeat;
-  TimePoint received_at;
-  TimePoint key_loads_received_at;  ///< When `heartbeat.key_load_reports` came.
+  TimePoint received_at;  ///< Here, or at the relay that forwarded it.
+  TimePoint key_loads_received_at;  ///< Of `heartbeat.key_load_reports`.
 };
 
-/// A daemon that announced itself in the store or by a heartbeat.
+/// The other daemons, and the heartbeats that this daemon has sent.
 struct FleetState {
+  /// All daemons, this one included, known from the store or from heartbeats.
   std::map<DaemonName, DaemonRecord> daemon_records;
+  /// Daemons from which a heartbeat has been received.
   std::map<DaemonName, PeerState> peers;
-  /// Requests at each server, by daemon, from their last heartbeats.
+  /// Requests of each other daemon at each server, from its last heartbeat.
   std::map<ServerName, std::map<DaemonName, std::uint32_t>> loads;
-  std::uint64_t sequence = 0;
+  std::uint64_t sequence = 0;  ///< Of the last heartbeat sent.
   TimePoint own_region_heartbeat_at;
   TimePoint regular_heartbeat_at;
   TimePoint other_region_heartbeat_at;
@@ -55,92 +60,98 @@
   TimePoint own_region_batch_at;
   TimePoint other_region_batch_at;
   std::uint64_t batches_sent = 0;
-  bool load_changed = false;
+  bool load_changed = false;  ///< Since the last heartbeat to the own region.
 };
 
-/// What one daemon knows of the order it gave last for a range.
+/// State of the grant for one key range, as its coordinator knows it.
 struct Lease {
   ServerIncarnation owner;
   Epoch epoch;
-  bool confirmed = false;  ///< The owner has answered a grant at this epoch.
+  bool confirmed = false;  ///< The owner has confirmed a grant at this epoch.
   bool fenced = false;     ///< The owner has seen a higher epoch.
-  bool from_earlier_term = false;   ///< Stood in the map when this duty began.
-  TimePoint renewed_at;             ///< When the last answered grant was sent.
-  std::uint64_t pending_order = 0;  ///< Under way; 0 if none.
-  bool releasing = false;           ///< The order under way is a release.
-  bool low_traffic = false;         ///< Its keys have little traffic.
-  TimePoint next_order_at;
-  std::string handover;
-  /// Lives of `previous` that no longer hold the keys.
+  bool from_earlier_term = false;   ///< Was in the map when this term began.
+  TimePoint renewed_at;             ///< When the last confirmed grant was sent.
+  std::uint64_t pending_order = 0;  ///< Order without an answer yet; 0: none.
+  bool releasing = false;           ///< The pending order is a release.
+  bool low_traffic = false;         ///< The keys have little traffic.
+  TimePoint next_order_at;          ///< No order is sent before.
+  std::string handover;  ///< From a previous owner, for the next grant.
+  /// Previous owners that have released the keys.
   std::set<ServerIncarnation> released;
 };
 
-/// What a server may hold by orders given so far.
+/// Keys that a server may hold by a grant sent so far.
 struct PossibleGrant {
   ShardKey first;
   ShardKey last;
   ServerIncarnation owner;
-  /// When every grant that may have been carried out has lapsed.
+  /// When every grant that may have been carried out has expired.
   TimePoint until;
 };
 
-/// Whether a server answers the coordinator's orders.
+/// Failed connections of the coordinator to one server.
 struct OrderHealth {
-  TimePoint failing_since;
+  TimePoint failing_since;  ///< First failure since the last answer.
   TimePoint last_failure;
   std::uint32_t failures = 0;  ///< Since its last answer.
 };
 
+/// An order to a server that has not been answered yet.
 struct Order {
   ServiceName service;
-  bool release = false;
+  bool release = false;  ///< Otherwise a grant.
   ServerIncarnation server;
   ShardKey first;
   ShardKey last;
   Epoch epoch;
   TimePoint sent_at;
-  Duration hold{0};  ///< Of a grant.
+  Duration hold{0};  ///< Duration of a grant.
 };
 
-/// Duties of the coordinator of one service's keys.
+/// What the coordinator of a service keeps while its term lasts.
 struct CoordinatorRole {
   std::map<ShardKey, Lease> leases;  ///< By first key of the range.
   std::vector<PossibleGrant> possible_grants;
   std::map<ServerIncarnation, OrderHealth> health;
-  /// Who coordinated before, until it is known to have stopped.
+  /// The coordinator before, until it is known to send no more orders.
   std::optional<std::pair<DaemonName, Incarnation>> predecessor;
-  TimePoint last_placement;
-  std::map<ShardKey, TimePoint> last_moves;  ///< By first key of the range.
+  TimePoint last_placement;  ///< Time of the last placement round.
+  /// When keys last moved, by first key of the range.
+  std::map<ShardKey, TimePoint> last_moves;
 };
 
+/// The owner map of one service, and this daemon's reads and writes of it.
 struct MapState {
-  std::optional<OwnerMap> map;  ///< As the store last confirmed it.
+  std::optional<OwnerMap> map;  ///< As last read or written.
   Version revision;
-  bool absent = false;  ///< The store has none.
-  std::optional<OwnerMap> pending_write;
-  TimePoint next_write;
-  bool resend_write = false;       ///< The write is to be sent again.
-  bool write_may_be_done = false;  ///< A send of it went unanswered.
-  /// No order is given until the store has confirmed the map again.
+  bool absent = false;                    ///< The store has no map.
+  std::optional<OwnerMap> pending_write;  ///< A write without outcome yet.
+  TimePoint next_write;                   ///< No write is sent before.
+  bool resend_write = false;       ///< The pending write has to be sent again.
+  bool write_may_be_done = false;  ///< It went unanswered once.
+  /// No order is sent until the store has confirmed the map again.
   bool must_verify = false;
-  TimePoint next_read;
-  TermEpoch highest_term;
+  TimePoint next_read;     ///< No read is sent before.
+  TermEpoch highest_term;  ///< Highest term that any daemon has named.
+  /// Last heartbeat of the coordinator, or start of its term.
   TimePoint coordinator_heartbeat_at;
-  /// Another daemon has had a newer map since then.
+  /// Since when another daemon has had a newer map.
   std::optional<TimePoint> behind_since;
   TimePoint confirmed_at;  ///< When the store last confirmed the map.
-  std::optional<CoordinatorRole>
-      coordinator_role;  ///< While this daemon coordinates.
+  /// Set while this daemon coordinates the service.
+  std::optional<CoordinatorRole> coordinator_role;
 };
 
-/// Decayed count of this daemon's requests by key.
+/// Decayed numbers of this daemon's requests to one service, by key.
 struct KeyLoadState {
   std::unordered_map<std::uint32_t, double> request_counts;
-  TimePoint decayed_at;
+  TimePoint decayed_at;  ///< When the counts were last decayed.
 };
 
+/// Whether a request waits for a server, or for the answer of one.
 enum class RequestPhase : std::uint8_t { kWaiting, kSent };
 
+/// A request of a caller that has not been answered yet.
 struct RequestState {
   RequestId id;
   std::string caller_request_id;
@@ -150,60 +161,65 @@
   std::optional<ShardKey> key;
   Fingerprint fingerprint;
   TimePoint arrived_at;
-  TimePoint deadline;  ///< The caller's or the route's, whichever is earlier.
+  TimePoint deadline;  ///< The caller's or the route's, the earlier.
   RequestPhase phase = RequestPhase::kWaiting;
-  AttemptId attempt;
-  ServerName server;
+  AttemptId attempt;  ///< The last one.
+  ServerName server;  ///< Of the last attempt.
   TimePoint sent_at;
-  Duration expected_time{0};
-  bool retried_by_caller = false;  ///< The caller has been refused before.
-  std::uint32_t in_flight_at_send = 0;
-  std::uint32_t sends = 0;
+  Duration expected_time{0};            ///< From send to answer.
+  bool retried_by_caller = false;       ///< The caller was refused before.
+  std::uint32_t in_flight_at_send = 0;  ///< Requests at the server then.
+  std::uint32_t sends = 0;              ///< Attempts that reached a server.
   std::uint32_t connect_failures = 0;
-  bool may_have_run = false;
+  bool may_have_run = false;  ///< At a server, in an earlier attempt.
   std::vector<ServerName> tried_servers;
-  TimePoint not_before;
-  std::shared_ptr<const ServerAnswer>
-      failure_answer;  ///< A server's own failure.
+  TimePoint not_before;  ///< No attempt is made before.
+  /// A server's answer that reports a failure; sent if no other attempt
+  /// succeeds.
+  std::shared_ptr<const ServerAnswer> failure_answer;
 };
 
-/// A request whose connection to a server broke.
+/// A request whose connection to a server broke; suspected of having crashed it
+/// if the server turns out to have ended.
 struct InterruptedRequest {
   Fingerprint request;
   ServerIncarnation server;
   TimePoint at;
 };
 
-/// Requests and repeated sends of one service within the budget's window.
+/// Times of the requests and retries of one service within the window of the
+/// retry budget.
 struct BudgetState {
   std::deque<TimePoint> requests;
   std::deque<TimePoint> retries;
 };
 
-/// Running mean of a service's answers.
+/// Measurements over all servers of a service.
 struct ServiceStats {
-  Duration service_time{0};
+  Duration service_time{0};  ///< Moving average; 0 until the first answer.
 };
 
-/// Smooth weighted choice among a route's destinations.
+/// State of the smooth weighted round robin among a route's destinations.
 struct SplitState {
-  std::vector<double> credits;
+  std::vector<double> credits;  ///< By destination; the highest is next.
 };
 
 /// How current this daemon's copy of one part of the store is.
 struct ViewState {
   Version as_of;          ///< Complete up to this revision.
   Version last_change;    ///< Revision of the last change.
-  TimePoint answered_at;  ///< When the store last answered for it.
-  /// The zone's relay has had a newer one since then.
+  TimePoint answered_at;  ///< When the store last answered a read of it.
+  /// Since when the zone's relay has had a newer copy.
   std::optional<TimePoint> behind_since;
 };
 
+/// Everything that a daemon's reducer knows.
 struct State {
   Settings settings;
   TimePoint started;
   std::shared_ptr<const Configuration> configuration;
   std::map<ServerName, ServerState> servers;
+  /// Servers that the registry lists, by service.
   std::map<ServiceName, std::vector<ServerName>> by_service;
   FleetState fleet;
   std::map<ServiceName, MapState> maps;
@@ -216,25 +232,28 @@
   std::map<ServiceName, BudgetState> budgets;
   std::map<ServiceName, ServiceStats> stats;
   std::map<std::string, SplitState> splits;  ///< By route name.
-  /// The longest deadline that callers have named, by route name.
+  /// The longest deadline that callers have set, by route name.
   std::map<std::string, Duration> deadlines;
   std::deque<InterruptedRequest> interrupted_requests;  ///< Oldest first.
+  /// Crashed servers by the request that ran at them, with the time of the
+  /// strike.
   std::map<Fingerprint, std::map<ServerIncarnation, TimePoint>> strikes;
   std::map<StoreView, ViewState> views;
-  /// Watches the store itself; otherwise the zone's relay tells changes.
+  /// This daemon watches the store itself; otherwise the zone's relay sends it
+  /// the changes.
   bool watching = true;
   Duration watch_wait{0};
-  bool store_has_answered = false;
-  TimePoint store_answered_at;
-  TimePoint store_failed_at;  ///< Last time the store did not answer.
-  TimePoint outage_ended_at;
+  bool store_has_answered = false;  ///< Since the start.
+  TimePoint store_answered_at;  ///< Last answer; the start before the first.
+  TimePoint store_failed_at;    ///< Last call without an answer.
+  TimePoint outage_ended_at;    ///< When the store last became reachable.
   bool stopping = false;
   TimePoint stop_ordered_at;
-  bool ready = false;
-  std::uint64_t draws = 0;  ///< Advances the tie-breaking sequence.
+  bool ready = false;       ///< Has been logged as ready.
+  std::uint64_t draws = 0;  ///< Varies the server that wins a tie.
 };
 
-/// Whether new connections should come here.
+/// Whether this daemon should be sent new connections.
 bool is_ready(const State& state);
 /// Requests received and not yet answered.
 std::size_t open_requests(const State& state);
