--- a/src/fleet/election.cc
+++ b/src/fleet/election.cc
@@ -10,8 +10,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// The lower one takes over first: large machines before small ones, and
-/// services spread over machines of one size.
+/// The daemon with the lowest rank takes over. Larger machines rank lower, and
+/// a hash spreads the services over machines of the same size.
 std::pair<std::uint32_t, std::uint64_t> takeover_rank(
     const State& state, const ServiceName& service, const DaemonName& daemon) {
   std::string text = service.str() + "/" + daemon.str();
@@ -26,7 +26,7 @@
   return unreachable_for < config::kCoordinatorStoreTimeout;
 }
 
-/// No other daemon that could take over ranks before this one.
+/// Whether no other daemon that could take over has a lower rank.
 bool is_first_candidate(const State& state, const ServiceName& service,
                         TimePoint now) {
   auto own = takeover_rank(state, service, state.settings.self.name);
@@ -40,7 +40,7 @@
   return true;
 }
 
-/// The coordinator does its duty, as far as this daemon hears.
+/// Whether recent heartbeats of the coordinator show that it is working.
 bool coordinator_is_working(const State& state, const OwnerMap& map,
                             TimePoint now) {
   auto peer = state.fleet.peers.find(map.coordinator);
@@ -53,7 +53,7 @@
          !last.stopping && store_is_reachable(last.store_unreachable_for);
 }
 
-/// Another daemon still hears the coordinator that this one does not hear.
+/// Whether another daemon still receives heartbeats of the coordinator.
 bool others_receive_heartbeats(const State& state, const ServiceName& service,
                                const OwnerMap& map, TimePoint now) {
   for (const auto& [name, peer] : state.fleet.peers) {
--- a/src/fleet/election.h
+++ b/src/fleet/election.h
@@ -3,15 +3,17 @@
 
 #include "fleet/state.h"
 
-/// Which daemon coordinates the keys of a service. The store's conditional
-/// update decides; this only says who tries, so that few do.
+/// Election of the coordinator of a service's keys. The store's conditional
+/// update decides it; the functions here only choose the candidate, so that few
+/// daemons write at the same time.
 namespace eelgrasspin::fleet {
 
-/// This daemon should write itself into the map as its coordinator.
+/// Whether this daemon should write itself into the map as coordinator.
 bool should_take_over(const State& state, const ServiceName& service,
                       const MapState& map, TimePoint now);
-/// The process that coordinates by this map is known to have ended.
+/// Whether the coordinator process named in the map is known to have ended.
 bool coordinator_ended(const State& state, const OwnerMap& map);
+/// Whether the map names this daemon as its coordinator.
 bool coordinates(const State& state, const OwnerMap& map);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -15,8 +15,8 @@
   return range.first <= item.last && item.first <= range.last;
 }
 
-/// The lease of the range that covered these keys before, if their owner and
-/// epoch are unchanged.
+/// The lease of the range that contained these keys before; null if their owner
+/// or epoch has changed.
 const Lease* lease_before(const std::map<ShardKey, Lease>& leases,
                           const KeyRange& range) {
   auto next = leases.upper_bound(range.first);
@@ -75,7 +75,7 @@
         {"epoch", text(range.epoch.value)}});
 }
 
-/// A grant for some of these keys waits for its answer.
+/// Whether a grant to the holder for some of these keys has no answer yet.
 bool grant_pending(const State& state, const KeyRange& range,
                    const ServerIncarnation& holder) {
   return std::any_of(state.orders.begin(), state.orders.end(),
@@ -86,6 +86,7 @@
                      });
 }
 
+/// Whether every grant to the holder for these keys has expired.
 bool grants_expired(const State& state, const CoordinatorRole& coordinator_role,
                     const KeyRange& range, const ServerIncarnation& holder,
                     TimePoint now) {
@@ -99,20 +100,21 @@
                       });
 }
 
-/// A released life refuses every lower epoch, also in grants that it carries
-/// out late.
+/// Whether the holder can no longer hold keys of the range. A server that has
+/// released them refuses lower epochs, also in grants that arrive late.
 bool no_longer_holds(const State& state,
                      const CoordinatorRole& coordinator_role,
                      const KeyRange& range, const Lease& lease,
                      const ServerIncarnation& holder, TimePoint now) {
-  // A grant meant for an earlier life may have reached the next one, so the end
-  // of a life proves nothing of its address.
+  // A grant to an earlier incarnation may have reached the next one at the same
+  // address, so that the end of the holder alone proves nothing.
   return holder.name == range.owner.name ||
          grants_expired(state, coordinator_role, range, holder, now) ||
          lease.released.count(holder) > 0;
 }
 
-/// Takes the keys back from every life that may hold them. True once none does.
+/// Sends releases to the previous owners that may hold the keys. True once none
+/// does.
 bool release_from_previous_owners(State& state, const ServiceName& service,
                                   CoordinatorRole& coordinator_role,
                                   const KeyRange& range, Lease& lease,
@@ -141,7 +143,7 @@
     if (!release_from_previous_owners(state, service, coordinator_role, range,
                                       lease, now, effects))
       return;
-    // Nothing is owed by a release that nobody needs any more.
+    // A pending release is no longer needed.
     if (lease.releasing) lease.pending_order = 0;
   }
   if (lease.pending_order != 0 || now < lease.next_order_at) return;
@@ -160,8 +162,8 @@
   return lease.epoch == order.epoch ? &lease : nullptr;
 }
 
-/// The server has seen this term's epoch for these keys, so orders of the
-/// coordinator before prolong nothing any more.
+/// The server has seen this term's epoch for these keys, so that orders of the
+/// coordinator before can no longer extend a grant.
 void shorten_inherited_grants(const Settings& settings,
                               CoordinatorRole& coordinator_role, Lease& lease,
                               const Order& order, TimePoint now) {
@@ -185,7 +187,8 @@
     health.failures = 0;
     return;
   }
-  // An order without an answer says little: some servers carry it out late.
+  // An order without an answer shows no failure: some servers carry it out
+  // late.
   if (result == OrderResult::kUnanswered) return;
   if (health.failures++ == 0) health.failing_since = order.sent_at;
   health.last_failure = now;
@@ -228,7 +231,8 @@
         {"took", text(now - order.sent_at)}});
 }
 
-/// A server that no longer listens and is no longer listed has ended.
+/// Whether the server is no longer in the registry. If it also refuses
+/// connections, its process has ended.
 bool is_unlisted(const State& state, const ServerIncarnation& holder) {
   auto server = state.servers.find(holder.name);
   return server != state.servers.end() && server->second.removed;
@@ -276,7 +280,7 @@
     Lease lease;
     if (const Lease* old = lease_before(before, range)) {
       lease = *old;
-      // An order for other bounds ends on its own account.
+      // The pending order is for another range and ends without effect here.
       if (before.count(range.first) == 0) lease.pending_order = 0;
     } else {
       lease.owner = range.owner;
@@ -298,7 +302,7 @@
   for (const KeyRange& range : map.map->ranges) {
     auto lease = coordinator_role.leases.find(range.first);
     if (lease == coordinator_role.leases.end()) continue;
-    // Keys that a map being written takes away are not renewed meanwhile.
+    // Keys whose owner or epoch a pending write changes are not renewed.
     if (map.pending_write) {
       const KeyRange* next = find_range(*map.pending_write, range.first);
       if (next == nullptr || next->epoch != range.epoch) continue;
@@ -357,7 +361,8 @@
     }
     on_granted(*lease, order, now, effects);
   } else if (ended.result == OrderResult::kFenced && !order.release) {
-    // Another coordinator may have been here: only the store can tell.
+    // Another coordinator may have sent orders; the store shows whether one has
+    // taken over.
     lease->confirmed = false;
     lease->fenced = true;
     effects.emplace_back(ReadMap{order.service});
--- a/src/fleet/leases.h
+++ b/src/fleet/leases.h
@@ -3,24 +3,26 @@
 
 #include "fleet/state.h"
 
-/// Orders that a coordinator gives to the servers: grants, renewals, releases.
+/// Orders that a coordinator sends to the servers: grants, renewals, releases.
 namespace eelgrasspin::fleet {
 
-/// Keeps the leases of ranges that stayed, starts those of new ones.
+/// Fits the leases to the ranges of the map: keeps those of unchanged ranges
+/// and starts those of new ones.
 void update_leases(MapState& map);
 /// Sends the orders that are due; none while the map has to be verified.
 void send_due_orders(State& state, const ServiceName& service, MapState& map,
                      TimePoint now, Effects& effects);
-/// A server may hold these keys until then.
+/// Records that a server may hold keys until the time given.
 void record_possible_grant(CoordinatorRole& coordinator_role,
                            const PossibleGrant& possible);
 /// Time from the end of an order to grant keys for `hold` until the grant has
-/// lapsed at the server, whose clock may be slow.
+/// certainly expired at the server, whose clock may be slow.
 Duration expiry_delay(const Settings& settings, Duration hold);
-/// No connection to the server could be made of late.
+/// Whether recent connections to the server have failed (config.h has the
+/// limits).
 bool is_unreachable(const CoordinatorRole& coordinator_role,
                     const ServerIncarnation& server, TimePoint now);
-/// Every lease of a range that is on its way to a new owner and has arrived.
+/// Whether the range has moved and its new owner has confirmed the grant.
 bool is_move_complete(const MapState& map, const KeyRange& range);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -14,12 +14,12 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// A pause shorter than this cannot have outlasted a hold.
+/// A pause shorter than this cannot outlast a grant.
 constexpr Duration kHarmlessPauseTime = milliseconds(400);
-/// A write that got no answer is sent again after this, until one says what
-/// became of it.
+/// Delay before a write without an answer is sent again. It is repeated until
+/// an answer shows its outcome.
 constexpr Duration kWriteRetryDelay = milliseconds(400);
-/// Between two reads of a map that is not known yet.
+/// Interval of reads of a map that is unknown or has to be verified.
 constexpr Duration kMapReadInterval = milliseconds(500);
 
 void end_coordinator_role(MapState& map, std::string_view reason,
@@ -33,8 +33,8 @@
   map.coordinator_role.reset();
 }
 
-/// Until when grants of an earlier coordinator may act, if its servers are not
-/// shown the new epoch.
+/// Until when servers may hold keys by grants of earlier coordinators if they
+/// do not learn of the new epoch.
 TimePoint earlier_grants_end(const State& state, const OwnerMap& before,
                              TimePoint now) {
   Duration renewing = coordinator_ended(state, before)
@@ -55,8 +55,8 @@
           before->coordinator, before->coordinator_incarnation);
     }
     for (const KeyRange& range : before->ranges) {
-      // Orders of an earlier term carry lower epochs, so that a server that has
-      // answered one of this term refuses them also when they come late.
+      // Orders of an earlier term have lower epochs. A server that has answered
+      // an order of this term refuses them, also if they arrive late.
       record_possible_grant(*map.coordinator_role,
                             {range.first, range.last, range.owner, end});
       for (const ServerIncarnation& holder : range.previous_owners) {
@@ -108,7 +108,8 @@
   effects.emplace_back(WriteMap{*map.pending_write, map.revision});
 }
 
-/// The store has confirmed that the map is still the one this daemon wrote.
+/// Starts the role again after the store has confirmed that the map is still
+/// the one that this daemon wrote.
 void resume_coordinator_role(State& state, MapState& map, TimePoint now,
                              Effects& effects) {
   if (map.coordinator_role || !coordinates(state, *map.map) ||
@@ -123,7 +124,7 @@
   return store_unreachable_for(state, now) < config::kCoordinatorStoreTimeout;
 }
 
-/// A coordinator cut off from the store for long may have been replaced.
+/// A coordinator that cannot reach the store for long may have been replaced.
 bool may_send_orders(const State& state, TimePoint now) {
   return now - state.store_answered_at < config::kMaxRenewalWithoutStore;
 }
@@ -201,7 +202,8 @@
   auto found = state.maps.find(change.service);
   if (found == state.maps.end() || !found->second.map) return;
   MapState& map = found->second;
-  // Only what this daemon can complete; else its map shows as behind.
+  // A change of any other base is ignored; heartbeats show that the map is
+  // outdated, and it is read from the store.
   if (change.base != map.revision || map.pending_write || map.coordinator_role)
     return;
   auto next = apply_change(*map.map, change);
@@ -244,7 +246,7 @@
       map.next_write = now + kWriteRetryDelay;
       break;
     case WriteOutcome::kUnknown:
-      // The same write is sent again: the store tells whether it has happened.
+      // The same write is sent again; the answer shows whether it was done.
       map.resend_write = true;
       map.write_may_be_done = true;
       map.next_write = now + kWriteRetryDelay;
@@ -260,8 +262,8 @@
 
 namespace {
 
-/// The coordinator before has heard of this term, or has ended: no order of it
-/// follows, and those under way lapse within the longest hold.
+/// Once the coordinator before knows of this term, or has ended, it sends no
+/// more orders, and those already sent expire within the longest hold.
 void end_predecessor(const State& state, MapState& map,
                      const Heartbeat& heartbeat, TermEpoch known_term,
                      TimePoint now) {
--- a/src/fleet/ownership.h
+++ b/src/fleet/ownership.h
@@ -3,11 +3,11 @@
 
 #include "fleet/state.h"
 
-/// Sole ownership of keys. One daemon coordinates a service: it changes the map
-/// in the store by conditional update, and only then orders the servers. Every
-/// change of owner carries a higher epoch, which the former owner is shown
-/// first; a former owner that does not answer is waited for until every grant
-/// to it has lapsed.
+/// Exclusive ownership of keys. One daemon coordinates a service: it changes
+/// the map in the store by conditional update, and only then sends orders to
+/// the servers. Every change of owner has a higher epoch, with which the keys
+/// are released by the former owner first. If that does not answer, the
+/// coordinator waits until every grant to it has expired.
 namespace eelgrasspin::fleet {
 
 void on_map(State& state, const MapSeen& seen, TimePoint now, Effects& effects);
@@ -18,16 +18,18 @@
                     Effects& effects);
 void on_order_ended(State& state, const OrderEnded& ended, TimePoint now,
                     Effects& effects);
-/// Terms that another daemon knows of; ends the duty of a daemon that has been
-/// replaced.
+/// Applies the terms that another daemon has named. A coordinator that has been
+/// replaced ends its term.
 void on_terms(State& state, const Heartbeat& heartbeat, TimePoint now,
               Effects& effects);
-/// Orders wait until the store has confirmed the map again.
+/// After a pause of the process, no order is sent until the store has confirmed
+/// the map again.
 void on_resumed(State& state, const Resumed& resumed, TimePoint now,
                 Effects& effects);
 void tick_ownership(State& state, TimePoint now, Effects& effects);
 
-/// Longest time that a grant of any coordinator, sent now, can last.
+/// Longest time for which a server can hold keys by a grant that any
+/// coordinator sends now.
 Duration longest_hold(const Settings& settings);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -13,14 +13,15 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// KeyLoadReport halves in kKeyLoadHalfLife, so a steady rate adds up to this
-/// many seconds of it.
+/// Decayed request count of a key per request a second: a steady rate adds up
+/// to the requests of this many seconds.
 const double kKeyLoadSeconds =
     static_cast<double>(config::kKeyLoadHalfLife.count()) / 1e6 / 0.6931;
-/// Answers that a server's measured speed has to rest on.
+/// Answers from which on a server's measured service time is used.
 constexpr double kMinMeasuredAnswers = 2.0;
 
-/// Mean of what all daemons have measured, weighted by their answers.
+/// Service times as all daemons have measured them, weighted by their numbers
+/// of answers.
 std::map<ServerName, Duration> measured_service_times(
     const State& state, const ServiceName& service, TimePoint now) {
   struct Sum {
@@ -57,8 +58,8 @@
   return service_times;
 }
 
-/// Servers that are listed but answer no orders; none if that holds for so many
-/// that the coordinator's own path is the likelier cause.
+/// Servers that are listed but cannot be reached; none if there are so many
+/// that the coordinator's own network path is the likelier cause.
 std::set<ServerName> unreachable_servers(const State& state,
                                          const ServiceName& service,
                                          TimePoint now) {
@@ -154,7 +155,7 @@
   return changed;
 }
 
-/// A server that has seen a higher epoch is shown a still higher one.
+/// Assigns ranges whose owner has seen a higher epoch a still higher one.
 bool raise_fenced_epochs(const MapState& map, OwnerMap& next) {
   bool changed = false;
   for (KeyRange& range : next.ranges) {
@@ -178,8 +179,8 @@
   return input;
 }
 
-/// The life that keys of a lost one go to: its next life if the server has
-/// started again, else the least loaded server.
+/// The new owner of keys whose owner is lost: its next incarnation if the
+/// server has started again, else the least loaded server.
 std::optional<ServerIncarnation> replacement_owner(
     const State& state, const ServerIncarnation& lost,
     const PlacementInput& input) {
@@ -222,7 +223,7 @@
   }
   next.ranges = std::move(input.ranges);
   for (KeyRange& range : next.ranges) {
-    // A higher epoch at the same server needs no release first.
+    // The same server needs no release first, as the new epoch is higher.
     std::erase_if(range.previous_owners,
                   [&range](const ServerIncarnation& holder) {
                     return holder.name == range.owner.name;
@@ -243,7 +244,8 @@
          now - moved->second >= config::kMoveCooldown;
 }
 
-/// Ranges without much traffic are granted for longer.
+/// Marks the leases of ranges with little traffic, which are granted for
+/// longer.
 void mark_low_traffic(const PlacementInput& input,
                       CoordinatorRole& coordinator_role) {
   for (const KeyRange& range : input.ranges) {
--- a/src/fleet/replan.h
+++ b/src/fleet/replan.h
@@ -6,12 +6,14 @@
 /// Changes that a coordinator makes to its map.
 namespace eelgrasspin::fleet {
 
-/// The first map of a service; empty while it has no servers.
+/// The first map of a service; empty while it has no usable servers or servers
+/// are still joining.
 std::optional<OwnerMap> first_map(const State& state,
                                   const ServiceName& service, TimePoint now);
-/// The same owners under a new coordinator and a new epoch.
+/// The map with the same owners, this daemon as coordinator, and a new term and
+/// epoch.
 OwnerMap take_over_map(const State& state, const OwnerMap& map);
-/// The map with every change that is due now; empty if none is.
+/// The map with every change that is due now; empty if none is due.
 std::optional<OwnerMap> replan(const State& state, const ServiceName& service,
                                MapState& map, TimePoint now, Effects& effects);
 
