--- a/src/fleet/placement.cc
+++ b/src/fleet/placement.cc
@@ -10,23 +10,25 @@
 namespace {
 
 constexpr std::uint32_t kKeyCount = kMaxShardKey + 1;
-/// Part of the wanted load that a run of keys has to carry to be worth moving.
+/// A run of keys is not moved if its load is below this share of the wanted
+/// load.
 constexpr double kMinLoadFit = 0.3;
+/// A run of keys is too large above this ratio to the wanted load.
 constexpr double kMaxLoadFit = 1.15;
-/// Requests a second; less is not worth a move.
+/// Lower bound of the wanted load.
 constexpr double kMinWantedRequestsPerSecond = 0.1;
-/// Cost of moving all keys, in units of a run's relative misfit.
+/// Cost of moving all keys, in units of a run's relative load difference.
 constexpr double kKeyMoveCost = 4.0;
-/// Load of one key, against the capacity of its owner, from which on it is
-/// given the fastest server.
+/// A key whose load reaches this share of its owner's capacity is moved to the
+/// fastest server.
 constexpr double kHotKeyCapacityShare = 0.5;
-/// A server counts as faster from this ratio of capacities on.
+/// Ratio of capacities from which on a server counts as faster.
 constexpr double kFasterCapacityRatio = 1.25;
 
 struct Loads {
   std::map<ServerIncarnation, double> by_server;
   double total = 0;
-  double per_key = 0;  ///< Assumed of each key besides its heat.
+  double per_key = 0;  ///< Assumed for each key besides its requests.
 };
 
 double request_rate_between(const PlacementInput& input, ShardKey first,
@@ -72,8 +74,8 @@
   double load = 0;
 };
 
-/// How far a run is from what is wanted: its load against the wanted one, and
-/// the keys that change hands for it.
+/// How badly a run fits: the relative difference of its load to the wanted
+/// load, plus a cost for the number of keys that move.
 double misfit(const KeyRun& run, double wanted_load) {
   double width = static_cast<double>(run.last.value - run.first.value + 1);
   return std::abs(run.load - wanted_load) / wanted_load +
@@ -85,7 +87,8 @@
   return !right || misfit(left, wanted_load) < misfit(*right, wanted_load);
 }
 
-/// The run of neighbouring hot keys inside the range whose load fits best.
+/// The run of neighbouring keys with requests, within one range, that fits
+/// best.
 std::optional<KeyRun> best_key_run(const PlacementInput& input,
                                    const KeyRange& range, double per_key,
                                    double wanted_load, double max_load) {
@@ -122,8 +125,8 @@
   return best;
 }
 
-/// An idle newcomer gets half of the widest range even when little is known of
-/// the heat, so that it does not stand by unused.
+/// Half of the owner's widest range. A server without keys is assigned it if
+/// too little is known of the key loads, so that it does not remain unused.
 std::optional<KeyRun> half_of_widest(const PlacementInput& input,
                                      const ServerIncarnation& owner) {
   const KeyRange* widest = nullptr;
@@ -181,7 +184,7 @@
                                       : find_server(input, widest->owner);
 }
 
-/// Position of the range that holds the key; the number of ranges if none does.
+/// Index of the range that contains the key; the number of ranges if none does.
 std::size_t range_index(const PlacementInput& input, ShardKey key) {
   auto next = std::upper_bound(input.ranges.begin(), input.ranges.end(), key,
                                [](ShardKey wanted, const KeyRange& range) {
@@ -193,7 +196,8 @@
   return static_cast<std::size_t>(next - input.ranges.begin()) - 1;
 }
 
-/// The hottest key cannot be split, so it goes to the fastest server.
+/// Moves the key with most requests to the fastest server, as one key cannot be
+/// split.
 std::optional<Move> move_hottest_key(const PlacementInput& input) {
   auto hottest =
       std::max_element(input.request_rates.begin(), input.request_rates.end(),
@@ -241,8 +245,8 @@
   double wanted_load =
       newcomer ? target_room : std::min(excess_load, target_room);
   wanted_load = std::max(wanted_load, kMinWantedRequestsPerSecond);
-  // A single hot key may be worth moving although it exceeds the wanted load,
-  // as long as the taker ends below what the giver has now.
+  // A single hot key may exceed the wanted load, as long as the target is then
+  // less loaded than the source is now.
   double target_limit =
       (source_load / source->capacity) * target->capacity - target_load;
   double max_load = std::max(wanted_load * kMaxLoadFit, target_limit * 0.8);
@@ -339,7 +343,7 @@
     assign(working.ranges, *move, Epoch());
     std::vector<bool> movable;
     for (const KeyRange& range : working.ranges) {
-      // Moves only cut ranges, so each lies inside one that was there before.
+      // Moves only split ranges, so each lies within one of the input.
       std::size_t before = range_index(input, range.first);
       movable.push_back(before < input.ranges.size() && input.movable[before] &&
                         range.previous_owners.empty());
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -6,9 +6,10 @@
 
 #include "fleet/model.h"
 
-/// Which keys move to which server. Answers to load that is uneven over the
-/// keys and changes within seconds: the hottest run of neighbouring keys that
-/// fits goes from the most loaded server to the least loaded one.
+/// Decides which keys move to which server: of the most loaded server's keys,
+/// the run of neighbouring hot keys whose load fits best goes to the least
+/// loaded server. Made for load that is uneven over the keys and changes within
+/// seconds.
 namespace eelgrasspin::fleet {
 
 struct PlacedServer {
@@ -16,11 +17,12 @@
   double capacity = 1.0;  ///< Requests a second that it can serve.
 };
 
+/// What a placement round is decided from.
 struct PlacementInput {
   std::vector<KeyRange> ranges;
-  std::vector<bool> movable;  ///< For each range.
+  std::vector<bool> movable;  ///< Whether each range may move.
   std::vector<PlacedServer> servers;
-  std::map<ShardKey, double> request_rates;  ///< Requests a second by key.
+  std::map<ShardKey, double> request_rates;  ///< Requests a second.
 };
 
 struct Move {
@@ -29,27 +31,28 @@
   ServerIncarnation to;
 };
 
-/// Equal contiguous ranges over the whole key space.
+/// Divides the key space into one range of equal size for each server.
 std::vector<KeyRange> initial_ranges(const std::vector<PlacedServer>& servers,
                                      Epoch epoch);
 
-/// Moves that one look may order: the more servers, the more of them are
-/// overloaded at once.
+/// Moves that one placement round may order. Grows with the number of servers,
+/// as more of them are overloaded at the same time.
 std::size_t max_moves_per_round(std::size_t servers);
-/// Ranges from which on none is split any more.
+/// Number of ranges from which on no range is split.
 std::size_t max_ranges(std::size_t servers);
 
-/// At most max_moves_per_round() moves that even the load out.
+/// Moves that balance the load, at most max_moves_per_round().
 std::vector<Move> plan_moves(const PlacementInput& input);
 
-/// The server with the least load against its capacity.
+/// The server with the lowest load relative to its capacity; null if there is
+/// none.
 const PlacedServer* least_loaded(const PlacementInput& input);
 
-/// Gives keys `first` to `last` to another life. Ranges are cut where needed;
-/// the lives that may still hold a part are remembered as previous.
+/// Assigns the keys of the move to their new owner. Splits ranges where needed
+/// and adds the former owners to `previous_owners`.
 void assign(std::vector<KeyRange>& ranges, const Move& move, Epoch epoch);
 
-/// Joins neighbours that one life owns at one epoch.
+/// Joins neighbouring ranges of the same owner and epoch.
 void join_neighbours(std::vector<KeyRange>& ranges);
 
 }  // namespace eelgrasspin::fleet
