--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -37,7 +37,8 @@
   return terms;
 }
 
-/// A coordinator is waited for by everybody, and a new daemon is unknown.
+/// Every daemon depends on a coordinator's heartbeats, and a daemon that has
+/// just started is not known to any relay.
 bool sends_to_all(const State& state, TimePoint now) {
   if (state.fleet.peers.empty() ||
       now - state.started < config::kStartAnnouncementTime) {
@@ -48,7 +49,8 @@
   });
 }
 
-/// Daemons of the own region, or of others, that are sent a heartbeat directly.
+/// Addresses of the daemons of the own region, or of other regions, that are
+/// sent heartbeats directly.
 std::vector<Endpoint> receivers(const State& state, bool other_region,
                                 bool all) {
   std::set<Endpoint> to;
@@ -93,7 +95,7 @@
 void on_daemon(State& state, const DaemonSeen& seen) {
   auto [found, added] =
       state.fleet.daemon_records.try_emplace(seen.daemon.name, seen.daemon);
-  // Heartbeats are newer than what a daemon wrote when it started.
+  // Heartbeats are newer than the record that a daemon writes at its start.
   if (!added && state.fleet.peers.count(seen.daemon.name) == 0) {
     found->second = seen.daemon;
   }
@@ -106,8 +108,8 @@
   auto found = state.fleet.peers.find(from);
   if (found != state.fleet.peers.end()) {
     const Heartbeat& last = found->second.heartbeat;
-    // The time of day that incarnations are made of may jump back, so a lower
-    // one is believed once the higher one is silent.
+    // Incarnations are made from the time of day, which may be set back. A
+    // lower one is therefore accepted once the higher one has timed out.
     if (heartbeat.daemon.incarnation < last.daemon.incarnation &&
         now - found->second.received_at < daemon_timeout(state, from)) {
       return false;
--- a/src/fleet/peers.h
+++ b/src/fleet/peers.h
@@ -3,29 +3,30 @@
 
 #include "fleet/state.h"
 
-/// The other daemons: who is alive, and what they carry.
+/// Heartbeats between daemons: which daemons are alive, and their load.
 namespace eelgrasspin::fleet {
 
 void on_daemon(State& state, const DaemonSeen& seen);
 void on_heartbeat(State& state, const HeartbeatReceived& received,
                   TimePoint now, Effects& effects);
-/// Takes over what a heartbeat says. False if it is older than the last one.
+/// Applies a heartbeat. False if it is older than the last one of that daemon.
 bool accept_heartbeat(State& state, const Heartbeat& heartbeat, TimePoint now,
                       Effects& effects);
-/// The next heartbeat of this daemon, as daemons of other regions need it
-/// (`far`) or those of its own.
+/// The next heartbeat of this daemon, for daemons of other regions or of its
+/// own.
 Heartbeat own_heartbeat(State& state, TimePoint now, bool other_region);
 void send_heartbeats(State& state, TimePoint now, Effects& effects);
-/// Every daemon known, and the seeds.
+/// Addresses of all known daemons and of the seeds, without this daemon.
 std::vector<Endpoint> all_receivers(const State& state);
-/// Tells everybody at once that this daemon is stopping.
+/// Notifies all daemons that this one is stopping.
 void announce_stop(State& state, TimePoint now, Effects& effects);
 
-/// Heard lately.
+/// Whether the last heartbeat of the daemon is within its timeout.
 bool is_alive(const State& state, const DaemonName& daemon, TimePoint now);
-/// Silence after which the daemon is not counted as alive.
+/// Time without a heartbeat after which the daemon is not considered alive.
 Duration daemon_timeout(const State& state, const DaemonName& daemon);
-/// For how long the store has failed to answer; 0 while it answers.
+/// Time since the last answer of the store if the last call to it failed,
+/// else 0.
 Duration store_unreachable_for(const State& state, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -18,8 +18,8 @@
   });
 }
 
-/// What the zone's relay said of its copies; null if it is not to be relied on
-/// or is this daemon.
+/// The relay of the zone, if it is another daemon whose copies are current;
+/// else null.
 const PeerState* followed_relay(const State& state, TimePoint now) {
   const DaemonRecord& self = state.settings.self;
   auto relay = zone_relay(state, self.zone, now);
@@ -112,7 +112,7 @@
 }
 
 bool should_watch(const State& state, TimePoint now) {
-  // A daemon whose own calls fail has to notice when the store is back.
+  // A daemon whose own calls fail has to notice when the store answers again.
   return store_unreachable_for(state, now).count() > 0 ||
          any_view_unread(state) || coordinates_any(state) ||
          followed_relay(state, now) == nullptr;
@@ -121,7 +121,8 @@
 void on_view_listed(State& state, const ViewListed& listed, TimePoint now) {
   ViewState& view = state.views[listed.view];
   view.as_of = std::max(view.as_of, listed.as_of);
-  // What a list changed is not known, so followers have to list as well.
+  // The changes since the last copy are unknown, so that daemons which follow
+  // this one have to read the list as well.
   view.last_change = view.as_of;
   view.answered_at = now;
 }
@@ -135,7 +136,7 @@
     update.since_outage = now - std::min(now, state.outage_ended_at);
   }
   view.answered_at = now;
-  // Answered before changes that the relay has told since.
+  // The answer is older than changes that the relay has sent since.
   if (update.as_of < view.as_of) return;
   view.as_of = std::max(view.as_of, update.as_of);
   if (has_no_changes(update)) return;
@@ -153,7 +154,8 @@
                      TimePoint now, Effects& effects) {
   const StoreUpdate& update = received.update;
   ViewState& view = state.views[update.view];
-  // An update that does not connect to this copy shows as behind later on.
+  // An update with a newer base is ignored; the copy is then found outdated and
+  // refreshed from the store.
   if (update.as_of <= view.as_of || update.base > view.as_of) return;
   view.as_of = update.as_of;
   view.last_change = update.as_of;
--- a/src/fleet/store_view.h
+++ b/src/fleet/store_view.h
@@ -3,16 +3,16 @@
 
 #include "fleet/state.h"
 
-/// Keeping copies of the store current. In each availability zone only the
-/// relay watches the store and tells the others, so that calls grow with the
-/// zones and not with the daemons. Whoever cannot rely on the relay watches
-/// the store itself.
+/// Copies of the store. In each availability zone only the relay watches the
+/// store and sends its changes to the other daemons, so that the number of
+/// calls grows with the zones and not with the daemons. A daemon that cannot
+/// rely on its relay watches the store itself.
 namespace eelgrasspin::fleet {
 
-/// This daemon has to watch the store itself.
+/// Whether this daemon has to watch the store itself.
 bool should_watch(const State& state, TimePoint now);
 
-/// Puts a configuration in force unless it is older than the present one.
+/// Adopts a configuration if it is newer than the current one.
 void adopt_configuration(State& state, const ConfigurationSeen& seen,
                          TimePoint now, Effects& effects);
 void on_view_listed(State& state, const ViewListed& listed, TimePoint now);
@@ -20,11 +20,11 @@
                       Effects& effects);
 void on_store_update(State& state, const StoreUpdateReceived& received,
                      TimePoint now, Effects& effects);
-/// Starts or stops to watch, and brings an old copy up to date.
+/// Starts or stops watching the store, and refreshes an outdated copy.
 void tick_store_view(State& state, TimePoint now, Effects& effects);
 
-/// What the daemons of the zone are told of this one's copies; empty unless it
-/// is their relay.
+/// How current this daemon's copies are, for its heartbeats; empty unless it is
+/// the relay of its zone.
 std::optional<Heartbeat::View> own_view(const State& state, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -23,8 +23,8 @@
          !peer->second.heartbeat.stopping;
 }
 
-/// The relay of each other zone of the own region, or of other regions; every
-/// daemon of a zone of which none is heard.
+/// Addresses of the relays of the other zones in the own region, or in other
+/// regions. All daemons of a zone without a known relay.
 std::vector<Endpoint> relay_addresses(const State& state, bool other_region,
                                       TimePoint now) {
   const DaemonRecord& self = state.settings.self;
@@ -125,7 +125,7 @@
   }
 }
 
-/// What the daemons of the own zone have reported to this one.
+/// Adds what the daemons of the own zone have reported to this one.
 void add_zone_key_loads(const State& state, const ServiceName& service,
                         TimePoint now, KeyLoads& keys,
                         ServiceTimes& service_times) {
