--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -7,7 +7,7 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// What was known when no server could take a request.
+/// Logs what was known when no server could take a request.
 void note_refusal(const State& state, const RequestState& request,
                   std::string_view reason,
                   const std::vector<Candidate>& candidates, TimePoint now,
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -10,12 +10,12 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Statuses that promise that a request has not run and never will.
+/// Whether the status itself promises that the request has not run.
 bool promises_not_run(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/// Lets the request look for another server if it may be sent again.
+/// Sends the request again if it has attempts left, else refuses it.
 void try_again(State& state, RequestState& request, std::string_view reason,
                TimePoint now, Effects& effects) {
   bool sends_left = request.sends < request.route->attempts;
@@ -38,7 +38,7 @@
     }
   }
   if (promises_not_run(ended.status)) {
-    // The status promises more than the server has stated.
+    // Without the statement of the server, the status alone proves nothing.
     request.may_have_run = true;
     if (request.route->repeatable) {
       return try_again(state, request, "unproven_refusal", now, effects);
@@ -62,7 +62,7 @@
   if (server != state.servers.end()) {
     record_outcome(server->second, false, now);
     if (ended.result == AttemptResult::kWrongOwner && !request.key) {
-      // The address belongs to another server now.
+      // Another server has the address now.
       server->second.blocked_until = now + seconds(1);
     }
   }
--- a/src/fleet/budget.cc
+++ b/src/fleet/budget.cc
@@ -5,8 +5,9 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Part of the budget that is spent: the window of the users slides and counts
-/// arrivals at the servers, which are later than sends here.
+/// Share of the budget that is used. The rest is a margin: the users' window
+/// counts arrivals at the servers, which come later than the sends counted
+/// here.
 constexpr double kBudgetUseShare = 0.8;
 
 void drop_old(std::deque<TimePoint>& times, TimePoint window_start) {
--- a/src/fleet/budget.h
+++ b/src/fleet/budget.h
@@ -3,12 +3,12 @@
 
 #include "fleet/state.h"
 
-/// The budget of repeated sends that all daemons share. Each spends its own
-/// share of it, so that none has to ask another.
+/// The retry budget of a service, which all daemons share. Each daemon has a
+/// fixed share of it, so that no retry needs a message.
 namespace eelgrasspin::fleet {
 
 void count_request(State& state, const ServiceName& service, TimePoint now);
-/// Takes one repeated send from the budget; false if none is left.
+/// Takes one retry from the budget; false if none is left.
 bool spend_retry(State& state, const ServiceName& service, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/choice.cc
+++ b/src/fleet/choice.cc
@@ -8,8 +8,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Share of the objective that an answer from another region has to be earlier
-/// by than a nearer one: the links are slow and paid for by volume.
+/// Share of the objective that is added to the expected finish at a server of
+/// another region: the links are slow and paid for by volume.
 constexpr double kOtherRegionPenaltyShare = 0.25;
 
 struct Best {
--- a/src/fleet/choice.h
+++ b/src/fleet/choice.h
@@ -8,9 +8,9 @@
 #include "eelgrasspin/units.h"
 #include "fleet/registry.h"
 
-/// Which server a request goes to. Answers to load that few servers with few
-/// slots each share between daemons that see one another's requests a moment
-/// late: a free slot nearby first, then the earliest expected finish.
+/// Chooses the server for a request: a free slot nearby first, then the
+/// earliest expected finish. Made for few servers with few slots each, and for
+/// daemons that learn of one another's requests with a delay.
 namespace eelgrasspin::fleet {
 
 struct Candidate {
@@ -24,19 +24,21 @@
 
 /// Time until a slot is expected to be free for one more request.
 Duration expected_wait(const Candidate& candidate);
-/// expected_wait() and service, longer for a server that fails requests.
+/// expected_wait() plus service time, longer for a server that fails requests.
 Duration expected_finish(const Candidate& candidate);
-/// The server takes one more request: it has a free slot, or queues at most
-/// kServerQueue and is expected to answer within the objective.
+/// Whether the server may be sent one more request: it has a free slot, or its
+/// queue is shorter than kMaxServerQueue and it is expected to answer within
+/// the objective.
 bool has_room(const Candidate& candidate, Duration objective);
 
-/// Position of the best candidate with room; empty if none has room. `draw`
-/// breaks ties.
+/// Index of the best candidate with room; empty if none has room. Among equal
+/// ones `draw` decides.
 std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
                                   Duration objective, std::uint64_t draw);
 
-/// When a refused caller should come back: when the least loaded candidate is
-/// expected to have room, within the share of `time_left` that callers honour.
+/// Time after which a refused caller should retry: when a slot of the least
+/// loaded candidate is expected to be free, but at most kMaxRetryAfterShare of
+/// `time_left`, which callers honour.
 Duration retry_after(const std::vector<Candidate>& candidates,
                      Duration time_left);
 
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -11,7 +11,7 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Time that an answer takes to its caller.
+/// Time that an answer takes to reach its caller.
 constexpr Duration kAnswerDeliveryTime = milliseconds(20);
 
 enum class Unavailable : std::uint8_t { kNoServer, kNoOwner, kFull };
@@ -28,7 +28,7 @@
   return "unknown";
 }
 
-/// Room that is kept for callers who come back after a refusal.
+/// Queue places that only callers which retry after a refusal may use.
 std::uint32_t retrying_caller_allowance(const RequestState& request) {
   return request.retried_by_caller ? config::kRetryingCallerExtraQueue : 0;
 }
@@ -100,9 +100,10 @@
   }
 }
 
-/// How long an answer is waited for before the request is sent once more.
-/// Answers to load whose work varies widely: a run that is cancelled is lost,
-/// so it is given time while a second one could still end before the deadline.
+/// Time without an answer after which the request is sent again. Made for
+/// requests whose work varies widely: the work of a cancelled attempt is lost,
+/// so it has as much time as leaves enough for a second one before the
+/// deadline.
 Duration response_timeout(const RequestState& request) {
   if (request.key)
     return scaled(request.expected_time, config::kOwnerResponseTimeoutFactor);
@@ -155,7 +156,7 @@
   Duration longest_wait =
       scaled(request.route->objective, config::kMaxWaitObjectiveShare);
   Unavailable why = std::get<Unavailable>(target);
-  // Waiting does not help where nothing is about to change.
+  // Waiting does not help if nothing is about to change.
   bool waiting_is_futile = why == Unavailable::kNoServer ||
                            (request.key && why == Unavailable::kFull);
   if (waiting_is_futile || waited >= longest_wait) {
--- a/src/fleet/quarantine.h
+++ b/src/fleet/quarantine.h
@@ -3,24 +3,24 @@
 
 #include "fleet/state.h"
 
-/// Requests that crash the servers that run them. A request that was at two
-/// servers when they crashed is sent to no other one by any daemon.
+/// Quarantine of requests that crash servers. A request that was running at two
+/// servers when they crashed is refused by all daemons.
 namespace eelgrasspin::fleet {
 
-/// The request's connection to this server broke while it was being served.
+/// Records that the request's connection to the server broke before the answer.
 void record_interruption(State& state, Fingerprint request,
                          const ServerIncarnation& server, TimePoint now);
-/// The server's process has ended: requests that were at it shortly before get
-/// a strike.
+/// The server's process has ended: each request whose connection to it broke
+/// shortly before gets a strike.
 void on_server_crash(State& state, const ServerIncarnation& server,
                      TimePoint now, Effects& effects);
-/// Strikes that another daemon has seen.
+/// Records the strikes that another daemon has sent.
 void on_strikes(State& state, const std::vector<Strike>& strikes,
                 TimePoint now);
-/// Strikes to tell the other daemons of.
+/// Strikes to send to the other daemons.
 std::vector<Strike> recent_strikes(const State& state, TimePoint now);
 bool is_quarantined(const State& state, Fingerprint request, TimePoint now);
-/// Forgets what is too old to count.
+/// Drops strikes and interrupted requests that are too old to count.
 void expire_strikes(State& state, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/requests.h
+++ b/src/fleet/requests.h
@@ -3,7 +3,7 @@
 
 #include "fleet/state.h"
 
-/// Each caller's request, from its arrival to its one end.
+/// Callers' requests, from arrival to answer.
 namespace eelgrasspin::fleet {
 
 void on_request(State& state, const RequestReceived& received, TimePoint now,
@@ -12,13 +12,13 @@
                     Effects& effects);
 void on_attempt_ended(State& state, const AttemptEnded& ended, TimePoint now,
                       Effects& effects);
-/// Ends requests whose time is up, and looks again for a server for the others
-/// that wait.
+/// Ends requests whose deadline has passed, resends slow ones, and tries to
+/// send those that wait.
 void tick_requests(State& state, TimePoint now, Effects& effects);
-/// Looks for a server for each request that waits, the most urgent first.
+/// Tries to send each waiting request to a server, the most urgent first.
 void retry_waiting(State& state, TimePoint now, Effects& effects);
 
-/// The route of a request; null if none matches.
+/// The matching route with the longest prefix; null if none matches.
 const Route* find_route(const Configuration& configuration,
                         std::string_view host, std::string_view path);
 
--- a/src/fleet/requests_p.h
+++ b/src/fleet/requests_p.h
@@ -7,7 +7,8 @@
 #include "fleet/choice.h"
 #include "fleet/state.h"
 
-/// Steps of a request that its files share.
+/// Steps of a request that answers.cc, attempts.cc, dispatch.cc and requests.cc
+/// share.
 namespace eelgrasspin::fleet {
 
 inline constexpr int kNotFound = 404;
@@ -16,49 +17,51 @@
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 inline constexpr int kServerError = 500;
-/// The answer of a server at the route's time-out may still arrive this long
-/// after it.
+/// An answer that a server sends at the route's timeout may still arrive this
+/// long after it.
 inline constexpr Duration kTimeoutGrace = milliseconds(120);
 
-/// Until the request's deadline.
+/// Time until the request's deadline.
 inline Duration time_left(const RequestState& request, TimePoint now) {
   return request.deadline - now;
 }
 
-// Ends, in answers.cc. Each leaves the request erased.
-/// Ends a request with an answer of our own.
+// Answers, in answers.cc. Each erases the request.
+/// Ends a request with an answer of this daemon.
 void answer(State& state, RequestState& request, int status, Duration after,
             std::string_view reason, TimePoint now, Effects& effects);
-/// Passes a server's answer on.
+/// Ends a request by forwarding a server's answer.
 void relay(State& state, RequestState& request,
            const std::shared_ptr<const ServerAnswer>& from_server, int status,
            std::string_view reason, TimePoint now, Effects& effects);
-/// Ends a request that no server can take: "not run" only where that is known.
+/// Ends a request that no server can take. Says "not run" only if that is
+/// certain.
 void refuse(State& state, RequestState& request, std::string_view reason,
             TimePoint now, Effects& effects);
+/// Logs the end of a request.
 void note_end(const RequestState& request, int status, std::string_view reason,
               TimePoint now, Effects& effects);
 
 // Sends, in dispatch.cc.
-/// Servers of the service that accept work.
+/// Servers of the service that may be sent requests.
 std::vector<Candidate> all_candidates(const State& state,
                                       const ServiceName& service,
                                       TimePoint now);
-/// When a request is ended here although its server has not answered.
+/// Time at which a request is ended here even if its server has not answered.
 TimePoint give_up_time(const RequestState& request);
 /// Sends the request if a server can take it now, else leaves it waiting or
-/// refuses it. The request may be gone afterwards.
+/// refuses it. May erase the request.
 void dispatch(State& state, RequestState& request, TimePoint now,
               Effects& effects);
-/// Sends a repeatable request to another server when the first one takes far
-/// longer than expected, if one has room for it.
+/// Sends a repeatable request again, to another server or on another connection
+/// to its owner, if it has exceeded its response timeout and a server has room.
 void resend_slow_request(State& state, RequestState& request, TimePoint now,
                          Effects& effects);
 
 // Attempts, in attempts.cc.
-/// The attempt under way is over, however it ended.
+/// Removes the current attempt, however it ended.
 void end_attempt(State& state, RequestState& request);
-/// The request's time is up.
+/// Ends a request whose deadline has passed.
 void expire(State& state, RequestState& request, TimePoint now,
             Effects& effects);
 
