--- a/src/fleet/duration.h
+++ b/src/fleet/duration.h
@@ -5,7 +5,7 @@
 
 namespace eelgrasspin::fleet {
 
-/// The duration times a factor, cut to whole microseconds.
+/// The duration times a factor, truncated to whole microseconds.
 inline Duration scaled(Duration duration, double factor) {
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(duration.count()) * factor));
--- a/src/fleet/learning.cc
+++ b/src/fleet/learning.cc
@@ -8,9 +8,9 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// A server that has just started is assumed to take this many times as long.
+/// Assumed ratio of service times of a server that is warming up to usual ones.
 constexpr double kWarmUpFactor = 2.0;
-/// KeyLoadReport below this is dropped.
+/// Request counts below this are dropped.
 constexpr double kMinKeyLoad = 0.05;
 constexpr Duration kDecayInterval = milliseconds(500);
 
@@ -59,7 +59,7 @@
 
 void record_latency(State& state, ServerState& server, Duration latency,
                     std::uint32_t load, TimePoint now) {
-  // Only a request that found a free slot shows the time of service alone.
+  // The latency of a request that has waited for a slot is not service time.
   if (load >= server.server.slots) return;
   server.service_time = updated_mean(server.service_time, latency);
   server.answer_count =
--- a/src/fleet/note.h
+++ b/src/fleet/note.h
@@ -12,6 +12,7 @@
 }
 inline std::string text(std::uint64_t number) { return std::to_string(number); }
 
+/// Adds a log line to the effects.
 inline void note(
     Effects& effects, std::string_view event,
     std::initializer_list<std::pair<std::string_view, std::string>> fields) {
--- a/src/fleet/reduce.h
+++ b/src/fleet/reduce.h
@@ -5,9 +5,11 @@
 
 namespace eelgrasspin::fleet {
 
+/// The state of a daemon that starts now.
 State make_state(const Settings& settings, TimePoint now);
 
-/// The one entry: applies an event and says what is to be done.
+/// Applies an event to the state and returns the effects to carry out. The only
+/// entry point of this part.
 Effects reduce(State& state, const Event& event, TimePoint now);
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -10,7 +10,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Leavers are remembered this long, so that their last answers are accounted.
+/// Removed servers are kept for this long, so that their last answers are
+/// counted.
 constexpr Duration kRemovedServerRetention = seconds(60);
 
 void rebuild_service_index(State& state) {
@@ -37,7 +38,7 @@
     if (!entry.leaving) {
       on_server_crash(state, incarnation_of(entry.server), now, effects);
     }
-    // What was learnt belongs to the life that has ended.
+    // Measurements belong to the incarnation that has ended.
     std::uint32_t in_flight = entry.in_flight;
     entry = ServerState();
     entry.in_flight = in_flight;
@@ -67,7 +68,7 @@
                    Effects& effects) {
   if (entry.removed || entry.may_return_until) return;
   if (in_or_after_outage(state, now) && !entry.leaving) {
-    // Counted from the store's return, however late it was listed.
+    // Counted from the end of the outage, however late the list was read.
     bool in_outage = state.store_failed_at > state.store_answered_at;
     entry.may_return_until = (in_outage ? now : state.outage_ended_at) +
                              config::kRegistryRecoveryTime;
@@ -96,7 +97,7 @@
 
 void on_servers_listed(State& state, const ServersListed& listed, TimePoint now,
                        Effects& effects) {
-  // A list that was answered before changes which are known by now.
+  // The list is older than changes that have been applied since.
   auto view = state.views.find(StoreView::kServers);
   if (listed.as_of.value > 0 && view != state.views.end() &&
       listed.as_of < view->second.as_of) {
--- a/src/fleet/registry.h
+++ b/src/fleet/registry.h
@@ -12,18 +12,19 @@
                Effects& effects);
 void on_server_removed(State& state, const ServerRemoved& removed,
                        TimePoint now, Effects& effects);
-/// Drops entries that did not return after an outage, and old leavers.
+/// Marks entries that have not returned after an outage of the store as
+/// removed, and drops servers that were removed long ago.
 void expire_servers(State& state, TimePoint now, Effects& effects);
 
-/// The store is out of reach, or was until a moment ago: entries that lapsed in
-/// that time may return.
+/// Whether the store is unreachable, or was until kRegistryRecoveryTime ago:
+/// entries that expired in that time may return.
 bool in_or_after_outage(const State& state, TimePoint now);
-/// New work may be sent to the server.
+/// Whether new requests may be sent to the server.
 bool accepts_work(const ServerState& server);
-/// The life is listed, not leaving.
+/// Whether this incarnation is listed and not leaving.
 bool is_current(const State& state, const ServerIncarnation& server);
 ServerIncarnation incarnation_of(const Server& server);
-/// Requests of all daemons at the server, as far as they are known.
+/// Requests of this daemon and of all daemons alive at the server.
 std::uint32_t load_at(const State& state, const ServerState& server,
                       TimePoint now);
 
