--- a/tests/fleet_choice_test.cc
+++ b/tests/fleet_choice_test.cc
@@ -31,7 +31,7 @@
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
 }
 
-TEST(FleetChoice, FarServerIsWorthItOnlyWhenNearQueuesAreLong) {
+TEST(FleetChoice, OtherRegionIsUsedOnlyWhenOwnQueuesAreLong) {
   std::vector<Candidate> candidates = {
       server("region", Distance::kSameRegion, 2),
       server("far", Distance::kOtherRegion, 0)};
@@ -40,7 +40,7 @@
   EXPECT_EQ(choose(candidates, kObjective, 0), 1u);
 }
 
-TEST(FleetChoice, FailingServerIsPassedOverButNotForEver) {
+TEST(FleetChoice, FailingServerIsAvoidedButNotForEver) {
   std::vector<Candidate> candidates = {server("bad", Distance::kSameZone, 0),
                                        server("good", Distance::kSameZone, 1)};
   candidates[0].success_rate = 0.3;
@@ -67,8 +67,8 @@
   EXPECT_EQ(retry_after(candidates, Duration(0)), Duration(0));
 }
 
-/// Plays a load of one request each `gap` on four servers of unequal speed, and
-/// returns the share that ends within the objective.
+/// Simulates one request every `gap` on four servers of unequal speed. Returns
+/// the share of requests that end within the objective.
 template <class Choose>
 double on_time_share(Duration gap, Choose choose_one) {
   constexpr std::size_t kRequests = 4000;
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -68,7 +68,7 @@
   EXPECT_EQ(std::get<ServerName>(read.servers[1]), ServerName("s2"));
 }
 
-TEST(FleetMessages, ConfigurationsAreReadBackWhole) {
+TEST(FleetMessages, ConfigurationsAreReadBackComplete) {
   fleet::StoreUpdate read = read_back(update_of_configuration());
   ASSERT_TRUE(read.configuration);
   EXPECT_EQ(read.configuration_revision, Version(11));
@@ -86,7 +86,7 @@
   EXPECT_EQ(read.configuration->limits.idle_timeout, seconds(15));
 }
 
-TEST(FleetMessages, BundlesKeepAgesAndViews) {
+TEST(FleetMessages, BatchesKeepAgesAndViews) {
   fleet::HeartbeatBatch batch;
   batch.relay = true;
   fleet::Heartbeat heartbeat;
@@ -107,7 +107,8 @@
   EXPECT_EQ(read.heartbeats[1].view->servers, Version(4));
 }
 
-/// Changed messages neither crash nor bring about what the store could not.
+/// Mutated messages neither crash the decoder nor yield values that could not
+/// come from the store.
 RC_GTEST_PROP(FleetMessagesFuzz, MutatedUpdatesAreReadOrRefused, ()) {
   bool servers = *rc::gen::arbitrary<bool>();
   std::string text = encode_store_update(servers ? update_of_servers()
--- a/tests/fleet_ownership_test.cc
+++ b/tests/fleet_ownership_test.cc
@@ -4,28 +4,28 @@
 
 #include "tests/fleet_world.h"
 
-/// Sole ownership of keys under faults, each guard by a case of its own.
+/// Exclusive ownership of keys under faults, with a case for each guard.
 namespace eelgrasspin::fleet {
 namespace {
 
-constexpr Duration kSettled = seconds(4);
+constexpr Duration kSettlingTime = seconds(4);
 
 TEST(FleetOwnership, EveryKeyGetsOneOwner) {
   FleetWorld world(3, 4, 1);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   EXPECT_TRUE(world.all_held());
   EXPECT_TRUE(world.violations.empty());
   ASSERT_TRUE(world.stored_map());
   EXPECT_EQ(world.stored_map()->term.value, 1u);
 }
 
-TEST(FleetOwnership, LostCoordinatorIsReplacedBeforeItsGrantsLapse) {
+TEST(FleetOwnership, LostCoordinatorIsReplacedBeforeItsGrantsExpire) {
   FleetWorld world(3, 4, 2);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   auto first = world.coordinator();
   ASSERT_TRUE(first);
   world.kill(*first);
-  // Grants hold four seconds; no key may be without an owner meanwhile.
+  // Grants last four seconds; no key may be without an owner in that time.
   for (int i = 0; i < 60; ++i) {
     world.run_for(milliseconds(100));
     EXPECT_TRUE(world.all_held()) << "after " << i * 100 << " ms";
@@ -36,7 +36,7 @@
 
 TEST(FleetOwnership, FrozenCoordinatorDoesNotOrderAfterItsReplacement) {
   FleetWorld world(3, 4, 3);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   auto first = world.coordinator();
   ASSERT_TRUE(first);
   world.freeze(*first);
@@ -64,8 +64,9 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// Guard: a former owner that answers nothing is waited for.
-TEST(FleetOwnership, UnreachableOwnerKeepsItsKeysUntilItsHoldHasLapsed) {
+/// Guard: if a former owner does not answer, the coordinator waits until its
+/// grants have expired.
+TEST(FleetOwnership, UnreachableOwnerKeepsItsKeysUntilItsGrantExpires) {
   FleetWorld world(3, 4, 5);
   world.run_for(seconds(10));
   world.servers()[1].reachable = false;
@@ -77,11 +78,11 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// Guard: a release carries the next owner's epoch, so that grants which the
-/// former owner carries out late are refused. Without it they act again.
-TEST(FleetOwnership, LateGrantsDoNotBringKeysBackNorHoldUpAMove) {
+/// Guard: a release has the next owner's epoch, so that the former owner
+/// refuses grants that arrive late. Otherwise it would hold the keys again.
+TEST(FleetOwnership, LateGrantsNeitherRestoreOwnershipNorDelayAMove) {
   FleetWorld world(3, 4, 6);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   world.faults.grant_unanswered = 0.8;
   for (std::size_t server : {1u, 2u}) {
     world.run_for(seconds(3));
@@ -94,14 +95,16 @@
   EXPECT_TRUE(world.all_held());
 }
 
-/// Servers that answer four grants in ten late keep the hot keys served.
-TEST(FleetOwnership, UnansweredGrantsDoNotCostHotKeysTheirOwner) {
+/// Hot keys keep an owner although servers leave four grants in ten unanswered
+/// and carry them out late.
+TEST(FleetOwnership, UnansweredGrantsDoNotLeaveHotKeysUnowned) {
   FleetWorld world(2, 4, 16);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   world.faults.grant_unanswered = 0.4;
   int unowned = 0;
   for (int i = 0; i < 100; ++i) {
-    for (std::uint32_t key = 100; key < 110; ++key) world.heat(0, key, 0.2);
+    for (std::uint32_t key = 100; key < 110; ++key)
+      world.add_key_load(0, key, 0.2);
     world.run_for(milliseconds(100));
     const KeyRange* range = find_range(*world.stored_map(), ShardKey(105));
     if (!range->previous_owners.empty()) ++unowned;
@@ -110,15 +113,15 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// A server that has gone dark loses its keys before the registry misses it.
-TEST(FleetOwnership, DarkServersKeysAreServedElsewhere) {
+/// An unreachable server loses its keys before its registry entry expires.
+TEST(FleetOwnership, KeysOfAnUnreachableServerAreServedElsewhere) {
   FleetWorld world(3, 4, 17);
   world.run_for(seconds(10));
   world.servers()[1].reachable = false;
   world.servers()[1].up = false;
   world.servers()[1].holds.clear();
   for (std::uint32_t key = 16'500; key < 16'510; ++key) {
-    world.heat(0, key, 3.0);
+    world.add_key_load(0, key, 3.0);
   }
   world.run_for(seconds(10));
   EXPECT_TRUE(world.all_held());
@@ -127,8 +130,8 @@
   }
 }
 
-/// A server that ended and whose address another service has now: the address
-/// answers, but not for the keys.
+/// A server has ended and its address belongs to another service: the address
+/// answers, but rejects orders for the keys.
 TEST(FleetOwnership, ReusedAddressProvesThatItsFormerServerEnded) {
   FleetWorld world(3, 4, 18);
   world.run_for(seconds(10));
@@ -138,9 +141,10 @@
   EXPECT_TRUE(world.all_held());
 }
 
-/// A coordinator that lost the store is replaced while a server is dark: once
-/// it has heard of its successor, only the longest hold is waited for.
-TEST(FleetOwnership, ReplacedCoordinatorsGrantsAreWaitedForNoLongerThanAHold) {
+/// A coordinator that cannot reach the store is replaced while a server is
+/// unreachable. Once it knows of its successor, the wait is at most one longest
+/// hold.
+TEST(FleetOwnership, ReplacedCoordinatorsGrantsDelayAMoveByAtMostOneHold) {
   FleetWorld world(3, 4, 19);
   world.run_for(seconds(10));
   auto first = world.coordinator();
@@ -156,10 +160,11 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// Guard: a server that started again holds nothing, and gets a higher epoch.
-TEST(FleetOwnership, RestartedServerIsGrantedItsKeysAnew) {
+/// Guard: a restarted server holds no keys and is granted them at a higher
+/// epoch.
+TEST(FleetOwnership, RestartedServerIsGrantedItsKeysAgain) {
   FleetWorld world(3, 4, 7);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   Epoch before = world.stored_map()->next_epoch;
   world.restart_server(2);
   world.run_for(seconds(1));
@@ -171,8 +176,9 @@
   }
 }
 
-/// Guard: a write whose answer was lost is settled before another follows.
-TEST(FleetOwnership, LostAnswersOfTheStoreAreSettled) {
+/// Guard: the outcome of a write whose answer was lost is found out before the
+/// next write.
+TEST(FleetOwnership, LostAnswersOfTheStoreAreResolved) {
   FleetWorld world(3, 4, 8);
   world.faults.write_unanswered = 0.6;
   world.run_for(seconds(10));
@@ -182,9 +188,9 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// Guard: answers that waited while the process stood still lead to no order
-/// before the store has confirmed the map.
-TEST(FleetOwnership, AnswersHeldUpByAPauseLeadToNoOrders) {
+/// Guard: answers that were queued while the process was paused lead to no
+/// order before the store has confirmed the map.
+TEST(FleetOwnership, AnswersDelayedByAPauseLeadToNoOrders) {
   FleetWorld world(2, 4, 15);
   world.run_for(seconds(10));
   auto first = world.coordinator();
@@ -206,8 +212,8 @@
   EXPECT_TRUE(world.all_held());
 }
 
-/// A takeover in the middle of a move: the keys are not left waiting.
-TEST(FleetOwnership, MovesThatACoordinatorLeftUnfinishedGoOnAtOnce) {
+/// A takeover during a move does not delay the move.
+TEST(FleetOwnership, UnfinishedMovesOfAFormerCoordinatorContinueAtOnce) {
   FleetWorld world(3, 4, 13);
   world.run_for(seconds(10));
   auto first = world.coordinator();
@@ -220,7 +226,8 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// A first map waits for the servers that start together.
+/// The first map is created only after all servers that start together have
+/// joined.
 TEST(FleetOwnership, FirstMapCoversAllServers) {
   FleetWorld world(3, 4, 14);
   world.run_for(seconds(2));
@@ -235,7 +242,7 @@
 
 TEST(FleetOwnership, StoreOutageLeavesOwnersInPlace) {
   FleetWorld world(3, 4, 9);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   world.store_up = false;
   for (int i = 0; i < 9; ++i) {
     world.run_for(seconds(1));
@@ -249,7 +256,7 @@
 
 TEST(FleetOwnership, CoordinatorWithoutStoreHandsOver) {
   FleetWorld world(3, 4, 10);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   auto first = world.coordinator();
   ASSERT_TRUE(first);
   world.cut_from_store.insert(*first);
@@ -263,7 +270,7 @@
 
 TEST(FleetOwnership, PowerCutOfAllDaemonsKeepsTheOwners) {
   FleetWorld world(3, 4, 11);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   OwnerMap before = *world.stored_map();
   for (std::size_t i = 0; i < world.daemons(); ++i) world.kill(i);
   world.run_for(milliseconds(1500));
@@ -279,11 +286,12 @@
 
 TEST(FleetOwnership, HotKeysMoveAwayFromAnOverloadedServer) {
   FleetWorld world(2, 4, 12);
-  world.run_for(kSettled);
+  world.run_for(kSettlingTime);
   ServerIncarnation before =
       find_range(*world.stored_map(), ShardKey(100))->owner;
   for (int i = 0; i < 40; ++i) {
-    for (std::uint32_t key = 100; key < 110; ++key) world.heat(0, key, 0.4);
+    for (std::uint32_t key = 100; key < 110; ++key)
+      world.add_key_load(0, key, 0.4);
     world.run_for(milliseconds(100));
   }
   std::set<ServerName> owners;
@@ -294,10 +302,10 @@
   EXPECT_TRUE(world.violations.empty());
 }
 
-/// One drawn fault; several may be in force at a time.
-void draw_fault(FleetWorld& world, std::uint32_t kind, std::uint32_t which) {
-  std::size_t daemon = which % world.daemons();
-  std::size_t server = which % world.servers().size();
+/// Starts or ends one fault; several may be active at a time.
+void draw_fault(FleetWorld& world, std::uint32_t kind, std::uint32_t target) {
+  std::size_t daemon = target % world.daemons();
+  std::size_t server = target % world.servers().size();
   switch (kind) {
     case 0:
       if (world.running(daemon)) {
@@ -332,17 +340,17 @@
     case 8: {
       std::pair<std::size_t, std::size_t> pair(daemon,
                                                (daemon + 1) % world.daemons());
-      if (!world.cuts.insert(pair).second) world.cuts.erase(pair);
+      if (!world.cut_links.insert(pair).second) world.cut_links.erase(pair);
       break;
     }
     case 9:
-      world.faults.grant_unanswered = 0.1 * (which % 6);
+      world.faults.grant_unanswered = 0.1 * (target % 6);
       break;
     case 10:
-      world.faults.write_unanswered = 0.1 * (which % 6);
+      world.faults.write_unanswered = 0.1 * (target % 6);
       break;
     case 11:
-      world.faults.grant_lost = 0.1 * (which % 6);
+      world.faults.grant_lost = 0.1 * (target % 6);
       break;
     default:
       break;
@@ -353,15 +361,16 @@
   auto seed = *rc::gen::inRange<std::uint32_t>(1, 1'000'000);
   auto kinds = *rc::gen::container<std::vector<std::uint32_t>>(
       14, rc::gen::inRange<std::uint32_t>(0, 12));
-  auto whiches = *rc::gen::container<std::vector<std::uint32_t>>(
+  auto targets = *rc::gen::container<std::vector<std::uint32_t>>(
       14, rc::gen::inRange<std::uint32_t>(0, 60));
   auto zones = *rc::gen::inRange<std::size_t>(1, 4);
   FleetWorld world(3 + zones, 4, seed, zones);
   world.run_for(seconds(2));
   for (std::size_t i = 0; i < kinds.size(); ++i) {
-    draw_fault(world, kinds[i], whiches[i]);
-    if (world.running(0)) world.heat(0, (whiches[i] * 977) % 65'536, 5.0);
-    world.run_for(milliseconds(200 + 40 * whiches[i]));
+    draw_fault(world, kinds[i], targets[i]);
+    if (world.running(0))
+      world.add_key_load(0, (targets[i] * 977) % 65'536, 5.0);
+    world.run_for(milliseconds(200 + 40 * targets[i]));
   }
   RC_ASSERT(world.violations.empty());
 }
--- a/tests/fleet_placement_test.cc
+++ b/tests/fleet_placement_test.cc
@@ -10,7 +10,7 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-ServerIncarnation life(int number) {
+ServerIncarnation server_incarnation(int number) {
   return {ServerName("s" + std::to_string(number)), Incarnation(1)};
 }
 
@@ -19,7 +19,7 @@
   for (int i = 0; i < servers; ++i) {
     double capacity =
         capacities.empty() ? 12.0 : capacities[static_cast<std::size_t>(i)];
-    input.servers.push_back({life(i), capacity});
+    input.servers.push_back({server_incarnation(i), capacity});
   }
   input.ranges = initial_ranges(input.servers, Epoch(1));
   input.movable.assign(input.ranges.size(), true);
@@ -33,14 +33,14 @@
   input.movable.assign(input.ranges.size(), true);
 }
 
-double worst_level(const PlacementInput& input) {
+double worst_load_ratio(const PlacementInput& input) {
   double worst = 0;
   for (const PlacedServer& server : input.servers) {
     double load = 0;
     for (const KeyRange& range : input.ranges) {
       if (range.owner != server.incarnation) continue;
-      for (const auto& [key, heat] : input.request_rates) {
-        if (range.first <= key && key <= range.last) load += heat;
+      for (const auto& [key, rate] : input.request_rates) {
+        if (range.first <= key && key <= range.last) load += rate;
       }
     }
     worst = std::max(worst, load / server.capacity);
@@ -63,36 +63,36 @@
   for (std::uint32_t key = 47'400; key < 47'600; ++key) {
     input.request_rates[ShardKey(key)] = 0.3;
   }
-  EXPECT_GT(worst_level(input), 4.0);
-  for (int look = 0; look < 3; ++look) carry_out(input, plan_moves(input));
-  EXPECT_LT(worst_level(input), 1.3);
+  EXPECT_GT(worst_load_ratio(input), 4.0);
+  for (int round = 0; round < 3; ++round) carry_out(input, plan_moves(input));
+  EXPECT_LT(worst_load_ratio(input), 1.3);
   EXPECT_TRUE(covers_all_keys(input.ranges));
 }
 
-/// Load: one key with more than one server of the usual speed can serve.
-TEST(FleetPlacement, HottestKeyGoesToTheFastestServerAndTheRestMakesRoom) {
+/// Load: one key with more requests than a server of the usual speed can serve.
+TEST(FleetPlacement, HottestKeyMovesToTheFastestServerAndOthersMoveAway) {
   PlacementInput input = input_of(4, {8.0, 8.0, 20.0, 8.0});
   input.request_rates[ShardKey(100)] = 18.0;
   input.request_rates[ShardKey(120)] = 3.0;
   input.request_rates[ShardKey(40'000)] = 4.0;
-  for (int look = 0; look < 3; ++look) carry_out(input, plan_moves(input));
+  for (int round = 0; round < 3; ++round) carry_out(input, plan_moves(input));
   OwnerMap map;
   map.ranges = input.ranges;
-  EXPECT_EQ(find_range(map, ShardKey(100))->owner, life(2));
-  EXPECT_NE(find_range(map, ShardKey(120))->owner, life(2));
-  EXPECT_LT(worst_level(input), 1.0);
+  EXPECT_EQ(find_range(map, ShardKey(100))->owner, server_incarnation(2));
+  EXPECT_NE(find_range(map, ShardKey(120))->owner, server_incarnation(2));
+  EXPECT_LT(worst_load_ratio(input), 1.0);
 }
 
-/// Load: a large fleet whose heat lies on a thousand neighbouring keys, all at
-/// six of its servers.
-TEST(FleetPlacement, HeatIsSharedOutOverALargeFleet) {
+/// Load: a large fleet whose requests are for a thousand neighbouring keys, all
+/// at six of its servers.
+TEST(FleetPlacement, LoadIsSpreadOverALargeFleet) {
   PlacementInput input = input_of(180);
   for (std::uint32_t key = 20'000; key < 22'000; key += 2) {
     input.request_rates[ShardKey(key)] = 1.2;
   }
-  EXPECT_GT(worst_level(input), 15.0);
-  for (int look = 0; look < 16; ++look) carry_out(input, plan_moves(input));
-  EXPECT_LT(worst_level(input), 1.3);
+  EXPECT_GT(worst_load_ratio(input), 15.0);
+  for (int round = 0; round < 16; ++round) carry_out(input, plan_moves(input));
+  EXPECT_LT(worst_load_ratio(input), 1.3);
   EXPECT_LE(input.ranges.size(),
             max_ranges(180) + 2 * max_moves_per_round(180));
   EXPECT_TRUE(covers_all_keys(input.ranges));
@@ -112,15 +112,15 @@
   EXPECT_TRUE(plan_moves(input).empty());
 }
 
-TEST(FleetPlacement, NewServerIsGivenKeysAlsoWithoutHeat) {
+TEST(FleetPlacement, NewServerIsAssignedKeysAlsoWithoutLoad) {
   PlacementInput input = input_of(3);
-  input.servers.push_back({life(9), 12.0});
+  input.servers.push_back({server_incarnation(9), 12.0});
   std::vector<Move> moves = plan_moves(input);
   ASSERT_FALSE(moves.empty());
-  EXPECT_EQ(moves[0].to, life(9));
+  EXPECT_EQ(moves[0].to, server_incarnation(9));
 }
 
-TEST(FleetPlacement, KeysThatMovedLatelyStayWhereTheyAre) {
+TEST(FleetPlacement, KeysThatMovedRecentlyAreNotMoved) {
   PlacementInput input = input_of(4);
   for (std::uint32_t key = 100; key < 120; ++key) {
     input.request_rates[ShardKey(key)] = 2.0;
@@ -129,21 +129,24 @@
   EXPECT_TRUE(plan_moves(input).empty());
 }
 
-TEST(FleetPlacement, AssignRemembersWhoMayStillHold) {
+TEST(FleetPlacement, AssignRecordsPreviousOwners) {
   PlacementInput input = input_of(2);
-  assign(input.ranges, {ShardKey(10), ShardKey(19), life(1)}, Epoch(5));
+  assign(input.ranges, {ShardKey(10), ShardKey(19), server_incarnation(1)},
+         Epoch(5));
   ASSERT_EQ(input.ranges.size(), 4u);
-  EXPECT_EQ(input.ranges[1].owner, life(1));
+  EXPECT_EQ(input.ranges[1].owner, server_incarnation(1));
   EXPECT_EQ(input.ranges[1].epoch, Epoch(5));
   EXPECT_EQ(input.ranges[1].previous_owners,
-            std::vector<ServerIncarnation>{life(0)});
-  // On the way again before it arrived: both may hold.
-  assign(input.ranges, {ShardKey(10), ShardKey(19), life(7)}, Epoch(6));
+            std::vector<ServerIncarnation>{server_incarnation(0)});
+  // Moved again before the first move was complete: both may hold the keys.
+  assign(input.ranges, {ShardKey(10), ShardKey(19), server_incarnation(7)},
+         Epoch(6));
   EXPECT_EQ(input.ranges[1].previous_owners,
-            (std::vector<ServerIncarnation>{life(0), life(1)}));
+            (std::vector<ServerIncarnation>{server_incarnation(0),
+                                            server_incarnation(1)}));
 }
 
-RC_GTEST_PROP(FleetPlacementProperty, MovesKeepTheKeySpaceWhole, ()) {
+RC_GTEST_PROP(FleetPlacementProperty, MovesKeepTheKeySpaceComplete, ()) {
   auto count = *rc::gen::inRange(1, 8);
   PlacementInput input = input_of(count);
   auto keys = *rc::gen::container<std::vector<std::uint32_t>>(
@@ -165,7 +168,7 @@
   for (std::uint32_t first : moves) {
     assign(after.ranges,
            {ShardKey(first), ShardKey(first + 500),
-            life(static_cast<int>(first % 5))},
+            server_incarnation(static_cast<int>(first % 5))},
            Epoch(first + 2));
   }
   join_neighbours(after.ranges);
--- a/tests/fleet_requests_test.cc
+++ b/tests/fleet_requests_test.cc
@@ -4,8 +4,8 @@
 #include "fleet/reduce.h"
 #include "fleet/requests.h"
 
-/// The life of one request in the reducer: what is sent, and what its caller is
-/// told.
+/// Requests in the reducer: what is sent to servers and what callers are
+/// answered.
 namespace eelgrasspin::fleet {
 namespace {
 
@@ -98,7 +98,7 @@
 
   TimePoint now_{seconds(100)};
   State state_;
-  /// The core never looks inside an answer, so any address does.
+  /// An answer is opaque to the reducer, so any address will do.
   int token_ = 0;
   std::shared_ptr<const ServerAnswer> answer_{
       std::make_shared<int>(), reinterpret_cast<const ServerAnswer*>(&token_)};
@@ -144,7 +144,7 @@
   EXPECT_EQ(answers_[0].status, 502);
 }
 
-TEST_F(FleetRequests, OnceOnlyRequestGoesOnWhenItProvablyDidNotRun) {
+TEST_F(FleetRequests, OnceOnlyRequestIsSentAgainWhenItProvablyDidNotRun) {
   configure();
   add("s1", kBooking);
   add("s2", kBooking);
@@ -157,7 +157,7 @@
   EXPECT_EQ(answers_[0].status, 503);
 }
 
-TEST_F(FleetRequests, RefusalWithoutProofIsNotPassedOnAsOne) {
+TEST_F(FleetRequests, RefusalWithoutProofIsNotForwardedAsOne) {
   configure();
   add("s1", kBooking);
   request(1, "/once/x");
@@ -167,7 +167,7 @@
   EXPECT_EQ(answers_[0].status, 502);
 }
 
-TEST_F(FleetRequests, SafeRequestThatMayHaveRunIsNotCalledNotRun) {
+TEST_F(FleetRequests, SafeRequestThatMayHaveRunIsNotReportedAsNotRun) {
   configure();
   add("s1", kDesk);
   add("s2", kDesk);
@@ -201,11 +201,11 @@
   EXPECT_EQ(relays_.size(), 1u);
 }
 
-TEST_F(FleetRequests, RepeatsStayWithinThisDaemonsShareOfTheBudget) {
+TEST_F(FleetRequests, RetriesStayWithinThisDaemonsShareOfTheBudget) {
   configure();
   add("s1", kDesk);
   add("s2", kDesk);
-  // 11 other daemons are known: a twelfth of the slack is this one's.
+  // With 11 other daemons known, a twelfth of the slack belongs to this one.
   for (int i = 0; i < 11; ++i) {
     apply(DaemonSeen{{DaemonName("p" + std::to_string(i)), Incarnation(1),
                       ZoneName("z"), RegionName("r"), Endpoint("10.0.1.1:7")}});
@@ -225,7 +225,7 @@
   EXPECT_GE(retries, 15u);
 }
 
-TEST_F(FleetRequests, DeadlineToldIsNeverLongerThanTheRoutesTimeout) {
+TEST_F(FleetRequests, DeadlineSentIsNeverLongerThanTheRoutesTimeout) {
   configure();
   add("s1", kDesk);
   request(1, "/safe/x", seconds(30));
@@ -255,8 +255,8 @@
   EXPECT_EQ(cancels_.size(), 1u);
 }
 
-/// Load: work of which one request in fifty takes five times the usual time. A
-/// run that is about to end is not thrown away for one that starts anew.
+/// Load: one request in fifty takes five times the usual time. An attempt that
+/// is about to end is not cancelled in favour of a new one.
 TEST_F(FleetRequests, LongRunIsNotReplacedWhileASecondOneWouldStillBeInTime) {
   configure();
   add("s1", kDesk);
@@ -276,7 +276,7 @@
   EXPECT_EQ(sends_.size(), 2u);
 }
 
-TEST_F(FleetRequests, CallerWhoLeavesEndsTheWork) {
+TEST_F(FleetRequests, CallerThatLeavesCancelsItsRequest) {
   configure();
   add("s1", kDesk);
   request(1, "/safe/x");
@@ -311,7 +311,7 @@
   }
 }
 
-TEST_F(FleetRequests, EntriesThatLapseInAnOutageAreUsedUntilTheyAreMissed) {
+TEST_F(FleetRequests, EntriesThatExpireInAnOutageAreUsedUntilRemoved) {
   configure();
   apply(StoreAnswered());
   add("s1", kDesk);
@@ -332,7 +332,7 @@
   for (const char* name : {"s1", "s2", "s3"}) add(name, kDesk);
   constexpr std::uint64_t kPoison = 77;
   request(1, "/safe/x", seconds(2), kPoison);
-  end(AttemptResult::kAnswerLost);  // Sent on to a second server, which dies as
+  end(AttemptResult::kAnswerLost);  // Sent to a second server, which crashes as
                                     // well.
   ASSERT_EQ(sends_.size(), 2u);
   end(AttemptResult::kAnswerLost);
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -14,28 +14,28 @@
 #include "fleet/ownership.h"
 #include "fleet/reduce.h"
 
-/// Several daemons' reducers on virtual time, with a store and backend servers
-/// in place of the platform. Small: it knows grants, the map and heartbeats.
+/// Simulation of several daemons' reducers on virtual time, with a fake store
+/// and fake backend servers. Covers grants, the owner map and heartbeats only.
 namespace eelgrasspin::fleet {
 
 inline const ServiceName kBoard{"board"};
-/// Keys at which double ownership is looked for.
+/// Distance of the keys that are checked for two owners.
 inline constexpr std::uint32_t kProbeStep = 512;
 
 struct FakeServer {
   Server entry;
   bool up = true;
   bool reachable = true;
-  bool readdressed = false;  ///< Ended; its address is another service's.
+  bool readdressed = false;  ///< Ended; another service has its address.
   struct Hold {
     TimePoint until;
-    Epoch seen;
+    Epoch highest_epoch;
   };
-  std::map<std::uint32_t, Hold> holds;  ///< By probed key.
+  std::map<std::uint32_t, Hold> holds;  ///< By checked key.
 };
 
 struct FleetFaults {
-  double grant_unanswered = 0;  ///< Share of grants that act late, unanswered.
+  double grant_unanswered = 0;  ///< Share of grants done late and not answered.
   double grant_lost = 0;        ///< Share of orders that never arrive.
   double write_unanswered = 0;  ///< Share of writes done but not answered.
   double heartbeat_lost = 0;
@@ -43,7 +43,7 @@
 
 class FleetWorld {
  public:
-  /// Daemons take turns in `zones` availability zones.
+  /// Distributes the daemons over `zones` availability zones in turn.
   FleetWorld(std::size_t daemons, std::size_t servers, std::uint32_t seed,
              std::size_t zones = 1)
       : random_(seed), zones_(zones) {
@@ -74,12 +74,12 @@
   TimePoint now() const { return now_; }
   FleetFaults faults;
   bool store_up = true;
-  /// Pairs of daemons that do not hear each other.
-  std::set<std::pair<std::size_t, std::size_t>> cuts;
+  /// Pairs of daemons that receive no messages of each other.
+  std::set<std::pair<std::size_t, std::size_t>> cut_links;
   std::set<std::size_t> cut_from_store;
-  /// Keys held by two servers at once, in words; empty while all is well.
+  /// A line for each time that two servers held a key at once.
   std::vector<std::string> violations;
-  /// Heartbeats and bundles sent so far, one for each receiver.
+  /// Heartbeats and batches sent so far, counted once per receiver.
   std::size_t datagrams = 0;
 
   std::vector<FakeServer>& servers() { return servers_; }
@@ -116,9 +116,9 @@
     }
     Daemon& slot = daemons_[daemon];
     slot.state = std::make_unique<State>(make_state(settings, now_));
-    slot.life = incarnations_;
+    slot.incarnation = incarnations_;
     slot.frozen = false;
-    slot.held.clear();
+    slot.deferred_events.clear();
     deliver_view(daemon);
   }
   void freeze(std::size_t daemon) {
@@ -131,14 +131,14 @@
     slot.frozen = false;
     if (!slot.state) return;
     apply(daemon, Resumed{now_ - slot.frozen_at});
-    auto held = std::move(slot.held);
-    slot.held.clear();
-    for (const Event& event : held) apply(daemon, event);
+    auto deferred_events = std::move(slot.deferred_events);
+    slot.deferred_events.clear();
+    for (const Event& event : deferred_events) apply(daemon, event);
   }
-  void heat(std::size_t daemon, std::uint32_t key, double weight) {
-    KeyLoadState& heat = state(daemon).key_loads[kBoard];
-    if (heat.request_counts.empty()) heat.decayed_at = now_;
-    heat.request_counts[key] += weight;
+  void add_key_load(std::size_t daemon, std::uint32_t key, double weight) {
+    KeyLoadState& key_load = state(daemon).key_loads[kBoard];
+    if (key_load.request_counts.empty()) key_load.decayed_at = now_;
+    key_load.request_counts[key] += weight;
   }
   void restart_server(std::size_t index) {
     servers_[index].entry.incarnation = Incarnation(++incarnations_);
@@ -151,7 +151,7 @@
     servers_[index].entry.draining = true;
     announce(index);
   }
-  /// The server's process ends and its entry lapses.
+  /// The server's process ends. Its registry entry is removed if `unlisted`.
   void end_server(std::size_t index, bool unlisted) {
     servers_[index].up = false;
     servers_[index].holds.clear();
@@ -178,7 +178,7 @@
     while (now_ < end) step();
   }
 
-  /// Whether every probed key is held by its owner in the store's map.
+  /// Whether every checked key is held by its owner in the store's map.
   bool all_held() const {
     if (!map_) return false;
     for (std::uint32_t key = 0; key <= kMaxShardKey; key += kProbeStep) {
@@ -200,16 +200,16 @@
  private:
   struct Daemon {
     std::unique_ptr<State> state;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool frozen = false;
     TimePoint frozen_at;
-    std::vector<Event> held;
+    std::vector<Event> deferred_events;
   };
-  struct Later {
+  struct ScheduledAction {
     TimePoint at;
     std::uint64_t order;
     std::function<void()> act;
-    bool operator<(const Later& other) const {
+    bool operator<(const ScheduledAction& other) const {
       return std::pair(at, order) < std::pair(other.at, other.order);
     }
   };
@@ -217,20 +217,20 @@
   bool draw(double share) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < share;
   }
-  Duration between(Duration least, Duration most) {
+  Duration random_duration(Duration least, Duration most) {
     return Duration(std::uniform_int_distribution<Duration::rep>(
         least.count(), most.count())(random_));
   }
 
   void after(Duration delay, std::function<void()> act) {
-    later_.insert({now_ + delay, ++order_, std::move(act)});
+    scheduled_.insert({now_ + delay, ++order_, std::move(act)});
   }
 
   void step() {
     now_ += config::kTickInterval;
-    while (!later_.empty() && later_.begin()->at <= now_) {
-      auto act = later_.begin()->act;
-      later_.erase(later_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->at <= now_) {
+      auto act = scheduled_.begin()->act;
+      scheduled_.erase(scheduled_.begin());
       act();
     }
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
@@ -254,11 +254,11 @@
     }
   }
 
-  void post(std::size_t daemon, std::uint64_t life, const Event& event) {
+  void post(std::size_t daemon, std::uint64_t incarnation, const Event& event) {
     Daemon& slot = daemons_[daemon];
-    if (!slot.state || slot.life != life) return;
+    if (!slot.state || slot.incarnation != incarnation) return;
     if (slot.frozen) {
-      slot.held.push_back(event);
+      slot.deferred_events.push_back(event);
     } else {
       apply(daemon, event);
     }
@@ -270,41 +270,45 @@
   }
 
   void execute(std::size_t daemon, const Effect& effect) {
-    std::uint64_t life = daemons_[daemon].life;
-    std::visit(Overloaded{
-                   [&](const SendHeartbeat& e) {
-                     broadcast(daemon, e.to, HeartbeatReceived{e.heartbeat});
-                   },
-                   [&](const SendHeartbeatBatch& e) {
-                     broadcast(daemon, e.to, HeartbeatBatchReceived{e.batch});
-                   },
-                   [&](const SendMapChange& e) {
-                     for (std::size_t i = 0; i < daemons_.size(); ++i) {
-                       if (i != daemon)
-                         tell(daemon, i, MapChangeReceived{e.change});
-                     }
-                   },
-                   [&](const WriteMap& e) {
-                     after(milliseconds(10),
-                           [this, daemon, life, e] { write(daemon, life, e); });
-                   },
-                   [&](const ReadMap& e) {
-                     after(milliseconds(10), [this, daemon, life, e] {
-                       read(daemon, life, e.service);
-                     });
-                   },
-                   [&](const GrantKeys& e) { send_grant(daemon, life, e); },
-                   [&](const ReleaseKeys& e) { send_release(daemon, life, e); },
-                   [](const auto&) {},
-               },
-               effect);
-  }
-
-  void tell(std::size_t from, std::size_t to, const Event& event) {
-    bool cut = cuts.count({from, to}) > 0 || cuts.count({to, from}) > 0;
+    std::uint64_t incarnation = daemons_[daemon].incarnation;
+    std::visit(
+        Overloaded{
+            [&](const SendHeartbeat& e) {
+              broadcast(daemon, e.to, HeartbeatReceived{e.heartbeat});
+            },
+            [&](const SendHeartbeatBatch& e) {
+              broadcast(daemon, e.to, HeartbeatBatchReceived{e.batch});
+            },
+            [&](const SendMapChange& e) {
+              for (std::size_t i = 0; i < daemons_.size(); ++i) {
+                if (i != daemon)
+                  deliver(daemon, i, MapChangeReceived{e.change});
+              }
+            },
+            [&](const WriteMap& e) {
+              after(milliseconds(10), [this, daemon, incarnation, e] {
+                write(daemon, incarnation, e);
+              });
+            },
+            [&](const ReadMap& e) {
+              after(milliseconds(10), [this, daemon, incarnation, e] {
+                read(daemon, incarnation, e.service);
+              });
+            },
+            [&](const GrantKeys& e) { send_grant(daemon, incarnation, e); },
+            [&](const ReleaseKeys& e) { send_release(daemon, incarnation, e); },
+            [](const auto&) {},
+        },
+        effect);
+  }
+
+  void deliver(std::size_t from, std::size_t to, const Event& event) {
+    bool cut =
+        cut_links.count({from, to}) > 0 || cut_links.count({to, from}) > 0;
     if (cut || !daemons_[to].state || draw(faults.heartbeat_lost)) return;
-    std::uint64_t life = daemons_[to].life;
-    after(milliseconds(1), [this, to, life, event] { post(to, life, event); });
+    std::uint64_t incarnation = daemons_[to].incarnation;
+    after(milliseconds(1),
+          [this, to, incarnation, event] { post(to, incarnation, event); });
   }
 
   void broadcast(std::size_t daemon, const std::vector<Endpoint>& receivers,
@@ -313,22 +317,23 @@
       if (i == daemon) continue;
       Endpoint endpoint("10.0.0." + std::to_string(i + 1) + ":7");
       for (const Endpoint& to : receivers) {
-        if (to == endpoint) tell(daemon, i, event);
+        if (to == endpoint) deliver(daemon, i, event);
       }
     }
     datagrams += receivers.size();
   }
 
-  bool has_store(std::size_t daemon) const {
+  bool reaches_store(std::size_t daemon) const {
     return store_up && cut_from_store.count(daemon) == 0;
   }
 
-  void write(std::size_t daemon, std::uint64_t life, const WriteMap& request) {
+  void write(std::size_t daemon, std::uint64_t incarnation,
+             const WriteMap& request) {
     auto end = [&](WriteOutcome outcome, Version revision) {
-      post(daemon, life, MapWriteEnded{kBoard, outcome, revision});
+      post(daemon, incarnation, MapWriteEnded{kBoard, outcome, revision});
     };
-    if (!has_store(daemon)) {
-      post(daemon, life, StoreFailed{"down"});
+    if (!reaches_store(daemon)) {
+      post(daemon, incarnation, StoreFailed{"down"});
       return end(WriteOutcome::kUnknown, Version());
     }
     if (request.expected != revision_) {
@@ -339,18 +344,19 @@
     if (draw(faults.write_unanswered)) {
       return end(WriteOutcome::kUnknown, Version());
     }
-    post(daemon, life, StoreAnswered());
+    post(daemon, incarnation, StoreAnswered());
     end(WriteOutcome::kWritten, revision_);
   }
 
-  void read(std::size_t daemon, std::uint64_t life,
+  void read(std::size_t daemon, std::uint64_t incarnation,
             const ServiceName& service) {
-    if (!has_store(daemon)) return post(daemon, life, StoreFailed{"down"});
-    post(daemon, life, StoreAnswered());
+    if (!reaches_store(daemon))
+      return post(daemon, incarnation, StoreFailed{"down"});
+    post(daemon, incarnation, StoreAnswered());
     if (map_) {
-      post(daemon, life, MapSeen{*map_, revision_});
+      post(daemon, incarnation, MapSeen{*map_, revision_});
     } else {
-      post(daemon, life, MapMissing{service});
+      post(daemon, incarnation, MapMissing{service});
     }
   }
 
@@ -366,33 +372,33 @@
     for (std::uint32_t key = 0; key <= kMaxShardKey; key += kProbeStep) {
       if (key < order.first.value || key > order.last.value) continue;
       FakeServer::Hold& hold = server.holds[key];
-      // The platform's servers look at epochs also when they are late.
-      if (hold.seen > order.epoch) continue;
+      // The platform's servers check the epoch also of late orders.
+      if (hold.highest_epoch > order.epoch) continue;
       hold.until = std::max(hold.until, arrived + order.hold);
-      hold.seen = std::max(hold.seen, order.epoch);
+      hold.highest_epoch = std::max(hold.highest_epoch, order.epoch);
     }
   }
 
   bool fenced(const FakeServer& server, const GrantKeys& order) const {
     for (const auto& [key, hold] : server.holds) {
       if (key >= order.first.value && key <= order.last.value &&
-          hold.seen > order.epoch) {
+          hold.highest_epoch > order.epoch) {
         return true;
       }
     }
     return false;
   }
 
-  void send_grant(std::size_t daemon, std::uint64_t life,
+  void send_grant(std::size_t daemon, std::uint64_t incarnation,
                   const GrantKeys& order) {
     FakeServer* server = server_at(order.address);
-    auto unanswered = [this, daemon, life, order] {
-      post(daemon, life,
+    auto unanswered = [this, daemon, incarnation, order] {
+      post(daemon, incarnation,
            OrderEnded{order.order, OrderResult::kUnanswered, "", "silent"});
     };
     if (server != nullptr && !server->reachable) {
-      return after(milliseconds(500), [this, daemon, life, order] {
-        post(daemon, life,
+      return after(milliseconds(500), [this, daemon, incarnation, order] {
+        post(daemon, incarnation,
              OrderEnded{order.order, OrderResult::kNotSent, "", "no path"});
       });
     }
@@ -402,17 +408,17 @@
     std::size_t index = static_cast<std::size_t>(server - servers_.data());
     Incarnation target = server->entry.incarnation;
     bool late = draw(faults.grant_unanswered);
-    after(milliseconds(2), [this, daemon, life, order, index, target, late,
-                            unanswered] {
+    after(milliseconds(2), [this, daemon, incarnation, order, index, target,
+                            late, unanswered] {
       FakeServer& there = servers_[index];
       if (!there.up || there.entry.incarnation != target) {
-        return post(daemon, life,
+        return post(daemon, incarnation,
                     OrderEnded{order.order, OrderResult::kNoListener, "", ""});
       }
       TimePoint arrived = now_;
       if (late) {
         after(config::kGrantTimeout, unanswered);
-        return after(between(seconds(2), seconds(12)),
+        return after(random_duration(seconds(2), seconds(12)),
                      [this, index, target, order, arrived] {
                        FakeServer& then = servers_[index];
                        if (then.up && then.entry.incarnation == target) {
@@ -422,8 +428,8 @@
       }
       bool refused = fenced(there, order);
       if (!refused) carry_out(there, order, arrived);
-      after(milliseconds(2), [this, daemon, life, order, refused] {
-        post(daemon, life,
+      after(milliseconds(2), [this, daemon, incarnation, order, refused] {
+        post(daemon, incarnation,
              OrderEnded{order.order,
                         refused ? OrderResult::kFenced : OrderResult::kDone, "",
                         ""});
@@ -431,26 +437,26 @@
     });
   }
 
-  void send_release(std::size_t daemon, std::uint64_t life,
+  void send_release(std::size_t daemon, std::uint64_t incarnation,
                     const ReleaseKeys& order) {
     FakeServer* server = server_at(order.address);
     if (server != nullptr && !server->reachable) {
-      return after(milliseconds(500), [this, daemon, life, order] {
-        post(daemon, life,
+      return after(milliseconds(500), [this, daemon, incarnation, order] {
+        post(daemon, incarnation,
              OrderEnded{order.order, OrderResult::kNotSent, "", "no path"});
       });
     }
     if (server == nullptr || draw(faults.grant_lost)) {
-      return after(config::kReleaseTimeout, [this, daemon, life, order] {
-        post(daemon, life,
+      return after(config::kReleaseTimeout, [this, daemon, incarnation, order] {
+        post(daemon, incarnation,
              OrderEnded{order.order, OrderResult::kUnanswered, "", "silent"});
       });
     }
     std::size_t index = static_cast<std::size_t>(server - servers_.data());
-    after(milliseconds(2), [this, daemon, life, order, index] {
+    after(milliseconds(2), [this, daemon, incarnation, order, index] {
       FakeServer& there = servers_[index];
       if (!there.up) {
-        return post(daemon, life,
+        return post(daemon, incarnation,
                     OrderEnded{order.order,
                                there.readdressed ? OrderResult::kOtherServer
                                                  : OrderResult::kNoListener,
@@ -460,11 +466,11 @@
         if (key < order.first.value || key > order.last.value) continue;
         FakeServer::Hold& hold = there.holds[key];
         hold.until = TimePoint();
-        hold.seen = std::max(hold.seen, order.epoch);
+        hold.highest_epoch = std::max(hold.highest_epoch, order.epoch);
       }
-      after(between(milliseconds(5), milliseconds(300)),
-            [this, daemon, life, order] {
-              post(daemon, life,
+      after(random_duration(milliseconds(5), milliseconds(300)),
+            [this, daemon, incarnation, order] {
+              post(daemon, incarnation,
                    OrderEnded{order.order, OrderResult::kDone, "warm", ""});
             });
     });
@@ -475,21 +481,22 @@
   }
   void each_daemon_with_store(const Event& event) {
     for (std::size_t i = 0; i < daemons_.size(); ++i) {
-      if (daemons_[i].state && has_store(i)) post(i, daemons_[i].life, event);
+      if (daemons_[i].state && reaches_store(i))
+        post(i, daemons_[i].incarnation, event);
     }
   }
 
   void deliver_view(std::size_t daemon) {
-    std::uint64_t life = daemons_[daemon].life;
-    after(milliseconds(20), [this, daemon, life] {
-      if (!has_store(daemon)) return;
-      post(daemon, life, StoreAnswered());
-      post(daemon, life, ConfigurationSeen{configuration_, Version(1)});
+    std::uint64_t incarnation = daemons_[daemon].incarnation;
+    after(milliseconds(20), [this, daemon, incarnation] {
+      if (!reaches_store(daemon)) return;
+      post(daemon, incarnation, StoreAnswered());
+      post(daemon, incarnation, ConfigurationSeen{configuration_, Version(1)});
       ServersListed listed;
       for (const FakeServer& server : servers_) {
         if (server.up) listed.servers.push_back(server.entry);
       }
-      post(daemon, life, listed);
+      post(daemon, incarnation, listed);
     });
   }
 
@@ -501,7 +508,7 @@
   std::vector<FakeServer> servers_;
   std::optional<OwnerMap> map_;
   Version revision_;
-  std::multiset<Later> later_;
+  std::multiset<ScheduledAction> scheduled_;
   std::uint64_t order_ = 0;
   std::uint64_t incarnations_ = 0;
 };
--- a/tests/store_view_test.cc
+++ b/tests/store_view_test.cc
@@ -9,7 +9,7 @@
 
 const DaemonName kRelay{"large"};
 
-/// One daemon of a zone whose relay is another daemon.
+/// A daemon of a zone whose relay is another daemon.
 class StoreViewTest : public ::testing::Test {
  protected:
   StoreViewTest() {
@@ -31,7 +31,7 @@
     beat.view = Heartbeat::View{Version(10), servers, age};
     return beat;
   }
-  Effects hear(const Heartbeat& beat) {
+  Effects receive(const Heartbeat& beat) {
     return reduce(state_, HeartbeatReceived{beat}, now_);
   }
   Effects tick_for(Duration duration) {
@@ -74,20 +74,20 @@
 }
 
 TEST_F(StoreViewTest, FollowsARelayWhoseCopyIsFresh) {
-  hear(heartbeat(Version(10), milliseconds(300)));
+  receive(heartbeat(Version(10), milliseconds(300)));
   Effects effects = tick_for(config::kTickInterval);
   EXPECT_FALSE(state_.watching);
   EXPECT_EQ(count<WatchStore>(effects), 1u);
 }
 
-/// A relay that is cut off from the store, frozen or lost must not keep the
-/// others from a change for longer than kMaxRelayViewAge.
+/// A relay that is cut off from the store, frozen or lost must not keep changes
+/// from the other daemons for longer than kMaxRelayViewAge.
 TEST_F(StoreViewTest, WatchesAgainOnceTheRelaysCopyIsOld) {
-  hear(heartbeat(Version(10), milliseconds(300)));
+  receive(heartbeat(Version(10), milliseconds(300)));
   tick_for(milliseconds(200));
   EXPECT_FALSE(state_.watching);
   tick_for(milliseconds(700));
-  hear(heartbeat(Version(10), milliseconds(1200)));
+  receive(heartbeat(Version(10), milliseconds(1200)));
   tick_for(milliseconds(260));
   EXPECT_TRUE(state_.watching);
 }
@@ -95,7 +95,7 @@
 TEST_F(StoreViewTest, WatchesWhileTheRelayCannotReachTheStore) {
   Heartbeat beat = heartbeat(Version(10), Duration(0));
   beat.store_unreachable_for = milliseconds(50);
-  hear(beat);
+  receive(beat);
   tick_for(config::kTickInterval);
   EXPECT_TRUE(state_.watching);
 }
@@ -103,7 +103,7 @@
 TEST_F(StoreViewTest, WatchesUntilItsOwnCallsSucceedAgain) {
   now_ += milliseconds(10);
   reduce(state_, StoreFailed{"silent"}, now_);
-  hear(heartbeat(Version(10), Duration(0)));
+  receive(heartbeat(Version(10), Duration(0)));
   tick_for(config::kTickInterval);
   EXPECT_TRUE(state_.watching);
   reduce(state_, StoreAnswered(), now_);
@@ -111,19 +111,19 @@
   EXPECT_FALSE(state_.watching);
 }
 
-TEST_F(StoreViewTest, UpdatesThatConnectAreApplied) {
-  hear(heartbeat(Version(10), Duration(0)));
+TEST_F(StoreViewTest, UpdatesWithAKnownBaseAreApplied) {
+  receive(heartbeat(Version(10), Duration(0)));
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
   EXPECT_EQ(state_.servers.count(ServerName("s")), 1u);
   EXPECT_EQ(state_.views[StoreView::kServers].as_of, Version(15));
 }
 
-TEST_F(StoreViewTest, UpdatesBehindALostOneAreFetchedFromTheStore) {
-  hear(heartbeat(Version(10), Duration(0)));
+TEST_F(StoreViewTest, UpdatesAfterALostOneAreReadFromTheStore) {
+  receive(heartbeat(Version(10), Duration(0)));
   tick_for(config::kTickInterval);
   reduce(state_, StoreUpdateReceived{update(Version(12), Version(15))}, now_);
   EXPECT_EQ(state_.servers.count(ServerName("s")), 0u);
-  hear(heartbeat(Version(15), Duration(0)));
+  receive(heartbeat(Version(15), Duration(0)));
   Effects effects =
       tick_for(config::kOutdatedViewReadDelay + config::kTickInterval * 2);
   EXPECT_EQ(count<CatchUp>(effects), 1u);
@@ -131,8 +131,8 @@
   EXPECT_EQ(count<CatchUp>(tick_for(milliseconds(400))), 0u);
 }
 
-TEST_F(StoreViewTest, EntriesThatLapsedInAnOutageAreWaitedFor) {
-  hear(heartbeat(Version(10), Duration(0)));
+TEST_F(StoreViewTest, EntriesThatExpiredInAnOutageAreKeptForAWhile) {
+  receive(heartbeat(Version(10), Duration(0)));
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
   StoreUpdate removal = update(Version(15), Version(18));
   removal.servers = {ServerName("s")};
@@ -144,8 +144,8 @@
   EXPECT_TRUE(state_.servers.at(ServerName("s")).removed);
 }
 
-/// However late the registry is listed after an outage, an entry that is
-/// missing counts as gone two seconds after the store's return.
+/// An entry that is missing after an outage counts as removed two seconds after
+/// the end of the outage, however late the registry is listed.
 TEST_F(StoreViewTest, WaitForLapsedEntriesCountsFromTheStoresReturn) {
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
   now_ += milliseconds(20);
@@ -170,10 +170,11 @@
   EXPECT_EQ(state_.views[StoreView::kServers].as_of, Version(15));
 }
 
-/// A daemon that followed its relay goes on from its copy, not from its own
-/// last call: older history may be gone.
+/// A daemon that has followed its relay starts to watch from the revision of
+/// its copy. From its own last call it might be too late, as the store drops
+/// old changes.
 TEST_F(StoreViewTest, WatchingGoesOnFromTheCopy) {
-  hear(heartbeat(Version(10), Duration(0)));
+  receive(heartbeat(Version(10), Duration(0)));
   tick_for(config::kTickInterval);
   reduce(state_, StoreUpdateReceived{update(Version(10), Version(15))}, now_);
   Effects effects =
@@ -187,11 +188,11 @@
   }
 }
 
-TEST_F(StoreViewTest, TheRelayPassesChangesOn) {
+TEST_F(StoreViewTest, TheRelayForwardsChanges) {
   Heartbeat small = heartbeat(Version(10), Duration(0));
   small.daemon.capacity = 50;
   small.view.reset();
-  hear(small);
+  receive(small);
   Effects effects =
       reduce(state_, StoreChanged{update(Version(), Version(15))}, now_);
   ASSERT_EQ(count<SendStoreUpdate>(effects), 1u);
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -22,7 +22,7 @@
 }
 
 /// Load: nine daemons in three zones, idle.
-TEST(ZoneRelay, EveryDaemonIsHeardInEveryZone) {
+TEST(ZoneRelay, HeartbeatsOfEveryDaemonReachEveryZone) {
   FleetWorld world(9, 4, 1, 3);
   world.run_for(seconds(8));
   for (std::size_t i = 0; i < world.daemons(); ++i) {
@@ -43,7 +43,7 @@
   EXPECT_LT(many, 5 * few) << few;
 }
 
-TEST(ZoneRelay, LostRelayIsReplacedBeforeItsZoneCountsAsSilent) {
+TEST(ZoneRelay, LostRelayIsReplacedBeforeItsZoneTimesOut) {
   FleetWorld world(9, 4, 1, 3);
   world.run_for(seconds(8));
   auto relay = zone_relay(world.state(1), FleetWorld::zone(1), world.now());
@@ -71,7 +71,7 @@
   EXPECT_EQ(load_at(other, other.servers.at(server), world.now()), 3u);
 }
 
-TEST(ZoneRelay, HeatOfAllZonesReachesTheCoordinatorOnce) {
+TEST(ZoneRelay, KeyLoadsOfAllZonesReachTheCoordinatorOnce) {
   FleetWorld world(9, 4, 1, 3);
   world.run_for(seconds(8));
   auto coordinator = world.coordinator();
@@ -79,14 +79,14 @@
   double expected = 0;
   for (std::size_t i = 0; i < world.daemons(); ++i) {
     if (i == *coordinator) continue;
-    world.heat(i, 500, 10);
+    world.add_key_load(i, 500, 10);
     expected += 10;
   }
   world.run_for(milliseconds(1300));
   double reported = 0;
   for (const auto& [name, peer] : world.state(*coordinator).fleet.peers) {
-    for (const auto& heat : peer.heartbeat.key_load_reports) {
-      for (const KeyLoad& key : heat.keys) {
+    for (const auto& report : peer.heartbeat.key_load_reports) {
+      for (const KeyLoad& key : report.keys) {
         if (key.key == ShardKey(500)) reported += key.weight;
       }
     }
