--- a/src/core/membership/coordinator_lease.cc
+++ b/src/core/membership/coordinator_lease.cc
@@ -1,7 +1,8 @@
+#include "core/membership/coordinator_lease.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "core/membership/coordinator_lease.h"
 #include "core/membership/fences.h"
 #include "core/membership/store_sync.h"
 
@@ -9,60 +10,63 @@
 namespace {
 
 constexpr StoreOpId kNoOp{0};
-constexpr Duration kLapseWait =
+/// Time without a change of the lease after which it may be taken over.
+constexpr Duration kTakeoverWait =
     config::kCoordinatorLeaseTerm + config::kLeaseMargin;
-constexpr Duration kValidity =
+/// Time for which a holder relies on a write of its lease, from its sending.
+constexpr Duration kLeaseValidity =
     config::kCoordinatorLeaseTerm - config::kLeaseMargin;
 
-const CoordinatorLease* known_lease(const core::State& state,
-                                    const ZoneName& zone) {
+const CoordinatorLease* stored_lease(const core::State& state,
+                                     const ZoneName& zone) {
   return coordinator_lease(state.cache, zone);
 }
 
-/// Free to be claimed without any wait.
+/// Whether the lease may be claimed without waiting for a term to expire.
 bool is_vacant(const core::State& state, const ZoneName& zone) {
-  const CoordinatorLease* known = known_lease(state, zone);
-  if (known != nullptr) return known->released;
+  const CoordinatorLease* stored = stored_lease(state, zone);
+  if (stored != nullptr) return stored->released;
   bool absent = version_of(state.cache, coordinator_lease_key(zone)).value == 0;
   return absent && state.membership.sync.listed;
 }
 
-/// Place among the candidates of the home zone, from 0. Spreads their claims.
+/// Rank among the candidates of the own zone, from 0. Staggers their claims.
 std::uint32_t candidate_rank(const core::State& state) {
-  const ZoneRoster* members = roster(state.cache, state.self.zone);
-  if (members == nullptr) return 0;
-  const CoordinatorLease* known = known_lease(state, state.self.zone);
+  const ZoneRoster* zone_roster = roster(state.cache, state.self.zone);
+  if (zone_roster == nullptr) return 0;
+  const CoordinatorLease* stored = stored_lease(state, state.self.zone);
   std::uint32_t rank = 0;
-  for (const RosterMember& member : members->members) {
-    bool is_holder = known != nullptr && member.daemon == known->holder;
+  for (const RosterMember& member : zone_roster->members) {
+    bool is_holder = stored != nullptr && member.daemon == stored->holder;
     if (!is_holder && member.daemon < state.self.name) ++rank;
   }
   return rank;
 }
 
-void note_sight(core::State& state, const ZoneName& zone, ZoneLease& lease,
-                Now now) {
+void update_first_seen(core::State& state, const ZoneName& zone,
+                       ObservedLease& lease, Now now) {
   Version version = version_of(state.cache, coordinator_lease_key(zone));
-  if (lease.first_seen && lease.seen == version) return;
-  lease.seen = version;
+  if (lease.first_seen && lease.seen_version == version) return;
+  lease.seen_version = version;
   lease.first_seen = now.mono;
   if (state.stopping) state.membership.next_heartbeat = now.mono;
 }
 
-/// Sights of other zones' leases were kept up by a watch only while one ran.
-void forget_foreign_sights(core::State& state) {
+/// Without a running watch the leases of other zones were not observed
+/// continuously, so the time since their last change is unknown.
+void reset_other_zone_observations(core::State& state) {
   for (auto& [zone, lease] : state.membership.leases) {
     if (zone != state.self.zone && !lease.held) lease.first_seen.reset();
   }
 }
 
-void gain(core::State& state, const ZoneName& zone, ZoneLease& lease, Now now,
-          Effects& effects) {
-  if (zone == state.self.zone) forget_foreign_sights(state);
+void become_coordinator(core::State& state, const ZoneName& zone,
+                        ObservedLease& lease, Now now, Effects& effects) {
+  if (zone == state.self.zone) reset_other_zone_observations(state);
   lease.active = true;
-  lease.since = now.mono;
-  state.membership.zones[zone] = ZoneWatch{};
-  state.membership.sync.last_change = state.membership.revision;
+  lease.coordinator_since = now.mono;
+  state.membership.zones[zone] = CoordinatedZone{};
+  state.membership.sync.newest_relayed = state.membership.revision;
   state.membership.sync.relayed_leases.clear();
   state.membership.sync.next_watch = now.mono;
   ++state.counters[Counter::kCoordinatorTerms];
@@ -74,8 +78,9 @@
   announce_coordinator(state, zone, effects);
 }
 
-void lose(core::State& state, const ZoneName& zone, ZoneLease& lease,
-          const std::string& cause, Now now, Effects& effects) {
+void end_coordinator_role(core::State& state, const ZoneName& zone,
+                          ObservedLease& lease, const std::string& cause,
+                          Now now, Effects& effects) {
   if (!lease.active) return;
   lease.active = false;
   state.membership.zones.erase(zone);
@@ -87,31 +92,34 @@
          now, effects);
 }
 
-void give_up(core::State& state, const ZoneName& zone, ZoneLease& lease,
-             const std::string& cause, Now now, Effects& effects) {
-  lose(state, zone, lease, cause, now, effects);
+void give_up_lease(core::State& state, const ZoneName& zone,
+                   ObservedLease& lease, const std::string& cause, Now now,
+                   Effects& effects) {
+  end_coordinator_role(state, zone, lease, cause, now, effects);
   lease.held = false;
   lease.releasing = false;
-  lease.heard = now.mono;
+  lease.last_coordinator_message = now.mono;
 }
 
-void on_settled(core::State& state, const ZoneName& zone, ZoneLease& lease,
-                const SettledWrite& write, Now now, Effects& effects) {
-  const CoordinatorLease* known = known_lease(state, zone);
-  bool ours =
-      write.took_effect && known != nullptr && known->holder == state.self.name;
-  if (!ours || known->released) {
-    give_up(state, zone, lease, ours ? "released" : "taken over", now, effects);
+void on_lease_write_settled(core::State& state, const ZoneName& zone,
+                            ObservedLease& lease, const SettledWrite& write,
+                            Now now, Effects& effects) {
+  const CoordinatorLease* stored = stored_lease(state, zone);
+  bool ours = write.took_effect && stored != nullptr &&
+              stored->holder == state.self.name;
+  if (!ours || stored->released) {
+    give_up_lease(state, zone, lease, ours ? "released" : "taken over", now,
+                  effects);
     if (ours) announce_coordinator(state, zone, effects);
     return;
   }
   lease.held = true;
-  lease.epoch = known->epoch;
-  lease.valid_until = write.first_sent + kValidity;
+  lease.epoch = stored->epoch;
+  lease.valid_until = write.first_sent + kLeaseValidity;
   lease.next_renewal = write.first_sent + config::kCoordinatorRenewInterval;
-  note_evidence(lease, write.first_sent);
+  confirm_membership(lease, write.first_sent);
   if (!lease.active && now.mono < lease.valid_until)
-    gain(state, zone, lease, now, effects);
+    become_coordinator(state, zone, lease, now, effects);
 }
 
 void write_lease(core::State& state, const ZoneName& zone,
@@ -120,97 +128,100 @@
   start_write(state, key, version_of(state.cache, key), next, now, effects);
 }
 
-void claim(core::State& state, const ZoneName& zone, ZoneLease& lease, Now now,
-           Effects& effects) {
-  const CoordinatorLease* known = known_lease(state, zone);
-  bool lapsed = known != nullptr && !known->released;
-  lease.earlier_holder = lapsed ? known->holder : DaemonName();
+void claim_lease(core::State& state, const ZoneName& zone, ObservedLease& lease,
+                 Now now, Effects& effects) {
+  const CoordinatorLease* stored = stored_lease(state, zone);
+  bool expired = stored != nullptr && !stored->released;
+  lease.previous_holder = expired ? stored->holder : DaemonName();
   CoordinatorLease next{.zone = zone,
                         .holder = state.self.name,
                         .address = state.self.address,
                         .epoch = TermEpoch(1),
                         .sequence = new_write_id(state)};
-  if (known != nullptr) next.epoch = known->epoch.next();
+  if (stored != nullptr) next.epoch = stored->epoch.next();
   write_lease(state, zone, next, now, effects);
 }
 
-void renew(core::State& state, const ZoneName& zone, ZoneLease& lease, Now now,
-           Effects& effects) {
-  CoordinatorLease next = *known_lease(state, zone);
+void renew_lease(core::State& state, const ZoneName& zone, ObservedLease& lease,
+                 Now now, Effects& effects) {
+  CoordinatorLease next = *stored_lease(state, zone);
   ++next.sequence;
   next.released = lease.releasing;
   lease.next_renewal = now.mono + config::kCoordinatorRenewInterval;
   write_lease(state, zone, next, now, effects);
 }
 
-void step_holder(core::State& state, const ZoneName& zone, ZoneLease& lease,
+void step_holder(core::State& state, const ZoneName& zone, ObservedLease& lease,
                  Now now, Effects& effects) {
   if (lease.active && now.mono >= lease.valid_until)
-    lose(state, zone, lease, "lapsed", now, effects);
-  const CoordinatorLease* known = known_lease(state, zone);
-  bool ours = known != nullptr && known->holder == state.self.name &&
-              known->epoch == lease.epoch && !known->released;
+    end_coordinator_role(state, zone, lease, "lapsed", now, effects);
+  const CoordinatorLease* stored = stored_lease(state, zone);
+  bool ours = stored != nullptr && stored->holder == state.self.name &&
+              stored->epoch == lease.epoch && !stored->released;
   if (!ours) {
-    give_up(state, zone, lease, "taken over", now, effects);
+    give_up_lease(state, zone, lease, "taken over", now, effects);
     return;
   }
   if (state.stopping) lease.releasing = true;
   if (write_pending(state, coordinator_lease_key(zone))) return;
   if (lease.releasing || now.mono >= lease.next_renewal)
-    renew(state, zone, lease, now, effects);
+    renew_lease(state, zone, lease, now, effects);
 }
 
-void read_if_due(core::State& state, const ZoneName& zone, ZoneLease& lease,
+void read_if_due(core::State& state, const ZoneName& zone, ObservedLease& lease,
                  Now now, Effects& effects) {
   if (now.mono - lease.read_sent > 2 * config::kStoreTimeout)
     lease.read_op = kNoOp;
   if (lease.read_op != kNoOp || now.mono < lease.next_read) return;
-  std::uint32_t slower =
+  std::uint32_t rate_divisor =
       1 + candidate_rank(state) / config::kLeaseReadersAtFullRate;
-  lease.next_read = now.mono + slower * config::kLeaseReadInterval;
+  lease.next_read = now.mono + rate_divisor * config::kLeaseReadInterval;
   lease.read_op = next_store_op(state);
   lease.read_sent = now.mono;
   ++state.counters[Counter::kStoreReads];
   effects.push_back(StoreList{lease.read_op, zone_prefix(zone)});
 }
 
-/// Whether the lease as last seen may be taken over, `delay` after the earliest
-/// time.
+/// Whether the lease as last seen may be claimed, `delay` after the earliest
+/// possible time.
 bool may_claim(const core::State& state, const ZoneName& zone,
-               const ZoneLease& lease, Duration delay, Now now) {
+               const ObservedLease& lease, Duration delay, Now now) {
   if (!lease.first_seen) return false;
   if (is_vacant(state, zone)) return now.mono >= *lease.first_seen + delay;
-  if (known_lease(state, zone) == nullptr) return false;
-  Duration wait = state.guards.lease_wait ? kLapseWait : Duration(0);
+  if (stored_lease(state, zone) == nullptr) return false;
+  Duration wait = state.guards.lease_wait ? kTakeoverWait : Duration(0);
   return now.mono >= *lease.first_seen + wait + delay;
 }
 
-void step_home_candidate(core::State& state, const ZoneName& zone,
-                         ZoneLease& lease, Now now, Effects& effects) {
+void step_own_zone_candidate(core::State& state, const ZoneName& zone,
+                             ObservedLease& lease, Now now, Effects& effects) {
   bool vacant = is_vacant(state, zone);
-  if (!vacant && !coordinator_is_silent(state, zone, now)) return;
+  if (!vacant && !coordinator_timed_out(state, zone, now)) return;
   if (!vacant) read_if_due(state, zone, lease, now, effects);
-  bool read_since_silent = lease.last_read && *lease.last_read > lease.heard;
-  if (!vacant && !read_since_silent) return;
+  bool read_since_last_message =
+      lease.last_read && *lease.last_read > lease.last_coordinator_message;
+  if (!vacant && !read_since_last_message) return;
   Duration delay = candidate_rank(state) * config::kClaimStagger;
   if (may_claim(state, zone, lease, delay, now))
-    claim(state, zone, lease, now, effects);
+    claim_lease(state, zone, lease, now, effects);
 }
 
-/// Only coordinators look after other zones: their watch shows every lease.
-void step_foreign_candidate(core::State& state, const ZoneName& zone,
-                            ZoneLease& lease, Now now, Effects& effects) {
+/// Only a coordinator is a candidate for other zones, because its watch shows
+/// every lease.
+void step_other_zone_candidate(core::State& state, const ZoneName& zone,
+                               ObservedLease& lease, Now now,
+                               Effects& effects) {
   if (!coordinates(state, state.self.zone, now)) return;
   Duration delay = zone_is_fenced(state, zone)
                        ? Duration(0)
                        : config::kOtherZoneCandidateDelay;
   if (may_claim(state, zone, lease, delay, now))
-    claim(state, zone, lease, now, effects);
+    claim_lease(state, zone, lease, now, effects);
 }
 
 void step_zone(core::State& state, const ZoneName& zone, Now now,
                Effects& effects) {
-  ZoneLease& lease = state.membership.leases[zone];
+  ObservedLease& lease = state.membership.leases[zone];
   if (lease.held) {
     step_holder(state, zone, lease, now, effects);
     return;
@@ -218,9 +229,9 @@
   if (state.stopping || write_pending(state, coordinator_lease_key(zone)))
     return;
   if (zone == state.self.zone)
-    step_home_candidate(state, zone, lease, now, effects);
+    step_own_zone_candidate(state, zone, lease, now, effects);
   else
-    step_foreign_candidate(state, zone, lease, now, effects);
+    step_other_zone_candidate(state, zone, lease, now, effects);
 }
 
 bool has_servers(const Declarations& declared, const ZoneName& zone) {
@@ -229,19 +240,19 @@
       [&](const auto& server) { return server.second.zone == zone; });
 }
 
-/// The home zone, zones held, and zones that may need a coordinator: the
-/// region's, and any that an operator fenced.
+/// The own zone, zones whose lease is held, and zones that may need a
+/// coordinator: those of the region and any that an operator fenced.
 std::vector<ZoneName> zones_to_step(const core::State& state, Now now) {
   std::vector<ZoneName> zones{state.self.zone};
   const Declarations* declared = declarations(state.cache);
-  bool looks_after_others =
+  bool serves_other_zones =
       declared != nullptr && coordinates(state, state.self.zone, now);
-  if (looks_after_others) {
+  if (serves_other_zones) {
     for (const auto& [name, zone] : declared->zones) {
-      bool in_charge =
+      bool eligible =
           zone.region == state.self.region || zone_is_fenced(state, name);
       bool other = name != state.self.zone;
-      if (other && in_charge && has_servers(*declared, name))
+      if (other && eligible && has_servers(*declared, name))
         zones.push_back(name);
     }
   }
@@ -252,8 +263,8 @@
   return zones;
 }
 
-void on_read(core::State& state, const StoreAnswered& answer, Now now,
-             Effects& effects) {
+void on_lease_read(core::State& state, const StoreAnswered& answer, Now now,
+                   Effects& effects) {
   for (auto& [zone, lease] : state.membership.leases) {
     if (lease.read_op == kNoOp || lease.read_op != answer.op) continue;
     lease.read_op = kNoOp;
@@ -264,16 +275,17 @@
     }
     for (const StoreEntry& entry : read->entries)
       apply_entry(state, entry, now, effects);
-    note_zone_read(state, zone, lease.read_sent, now);
+    on_zone_read(state, zone, lease.read_sent, now);
     return;
   }
 }
 
-void note_settled(core::State& state, Now now, Effects& effects) {
+void handle_settled_writes(core::State& state, Now now, Effects& effects) {
   for (auto& [zone, lease] : state.membership.leases) {
     const SettledWrite* write =
         settled_write(state, coordinator_lease_key(zone));
-    if (write != nullptr) on_settled(state, zone, lease, *write, now, effects);
+    if (write != nullptr)
+      on_lease_write_settled(state, zone, lease, *write, now, effects);
   }
 }
 
@@ -282,33 +294,36 @@
 void step_leases(core::State& state, const Event& event, Now now,
                  Effects& effects) {
   if (std::holds_alternative<Started>(event))
-    state.membership.leases[state.self.zone].heard = now.mono;
-  note_settled(state, now, effects);
+    state.membership.leases[state.self.zone].last_coordinator_message =
+        now.mono;
+  handle_settled_writes(state, now, effects);
   if (const auto* answer = std::get_if<StoreAnswered>(&event))
-    on_read(state, *answer, now, effects);
+    on_lease_read(state, *answer, now, effects);
   for (const ZoneName& zone : zones_to_step(state, now)) {
-    note_sight(state, zone, state.membership.leases[zone], now);
+    update_first_seen(state, zone, state.membership.leases[zone], now);
     step_zone(state, zone, now, effects);
   }
 }
 
-void note_evidence(ZoneLease& lease, TimePoint sent) {
-  if (!lease.evidence || *lease.evidence < sent) lease.evidence = sent;
+void confirm_membership(ObservedLease& lease, TimePoint sent) {
+  if (!lease.last_confirmed || *lease.last_confirmed < sent)
+    lease.last_confirmed = sent;
 }
 
-void note_zone_read(core::State& state, const ZoneName& zone, TimePoint sent,
-                    Now now) {
-  ZoneLease& lease = state.membership.leases[zone];
+void on_zone_read(core::State& state, const ZoneName& zone, TimePoint sent,
+                  Now now) {
+  ObservedLease& lease = state.membership.leases[zone];
   lease.last_read = now.mono;
-  note_evidence(lease, sent);
+  confirm_membership(lease, sent);
 }
 
-bool coordinator_is_silent(const core::State& state, const ZoneName& zone,
+bool coordinator_timed_out(const core::State& state, const ZoneName& zone,
                            Now now) {
-  const ZoneLease* lease = observed_lease(state, zone);
+  const ObservedLease* lease = observed_lease(state, zone);
   if (lease == nullptr) return true;
-  TimePoint from = std::max(lease->heard, state.membership.resumed);
-  return now.mono - from > config::kCoordinatorTimeout;
+  TimePoint silent_since =
+      std::max(lease->last_coordinator_message, state.membership.running_since);
+  return now.mono - silent_since > config::kCoordinatorTimeout;
 }
 
 void release_lease(core::State& state, const ZoneName& zone) {
@@ -317,8 +332,8 @@
     it->second.releasing = true;
 }
 
-const ZoneLease* observed_lease(const core::State& state,
-                                const ZoneName& zone) {
+const ObservedLease* observed_lease(const core::State& state,
+                                    const ZoneName& zone) {
   auto it = state.membership.leases.find(zone);
   return it == state.membership.leases.end() ? nullptr : &it->second;
 }
--- a/src/core/membership/coordinator_lease.h
+++ b/src/core/membership/coordinator_lease.h
@@ -11,24 +11,25 @@
 void step_leases(core::State& state, const Event& event, Now now,
                  Effects& effects);
 
-/// Notes the sending time of an answered message to the store or coordinator.
-void note_evidence(ZoneLease& lease, TimePoint sent);
+/// Records that an answer to a message sent at `sent`, to the store or the
+/// coordinator, confirmed this daemon's membership.
+void confirm_membership(ObservedLease& lease, TimePoint sent);
 
-/// Notes that the store showed a zone's lease and roster in answer to a call
-/// sent at `sent`.
-void note_zone_read(core::State& state, const ZoneName& zone, TimePoint sent,
-                    Now now);
+/// Records that a store call sent at `sent` returned a zone's lease and roster.
+void on_zone_read(core::State& state, const ZoneName& zone, TimePoint sent,
+                  Now now);
 
-/// Whether nothing was heard from a zone's coordinator for
+/// Whether no message from a zone's coordinator has arrived for
 /// config::kCoordinatorTimeout.
-bool coordinator_is_silent(const core::State& state, const ZoneName& zone,
+bool coordinator_timed_out(const core::State& state, const ZoneName& zone,
                            Now now);
 
-/// Gives a held lease up with the next write.
+/// Releases a held lease with the next write.
 void release_lease(core::State& state, const ZoneName& zone);
 
-/// A zone's lease as observed; null if it never was.
-const ZoneLease* observed_lease(const core::State& state, const ZoneName& zone);
+/// This daemon's view of a zone's lease; null if it never observed one.
+const ObservedLease* observed_lease(const core::State& state,
+                                    const ZoneName& zone);
 
 }  // namespace eelgrasspin::core::membership
 
--- a/src/core/membership/fences.h
+++ b/src/core/membership/fences.h
@@ -3,18 +3,19 @@
 
 #include "core/state.h"
 
-/// Operators' fences: the word that certain silent runs of daemons are dead.
+/// Operators' fence commands: declarations that certain unresponsive daemon
+/// processes are dead.
 namespace eelgrasspin::core::membership {
 
-/// Follows the fence commands in the cache. A run that is heard after the
-/// command became known is not fenced by it.
+/// Tracks the fence commands in the cache. An instance that still sends
+/// messages after the command became known is not fenced by it.
 void step_fences(core::State& state, Now now);
 
-/// Whether a fence under way names this run of a daemon.
+/// Whether an active fence covers this incarnation of a daemon.
 bool is_fenced(const core::State& state, const DaemonName& daemon,
                Incarnation incarnation);
 
-/// Whether a fence of this zone is under way.
+/// Whether a fence of this zone is active.
 bool zone_is_fenced(const core::State& state, const ZoneName& zone);
 
 }  // namespace eelgrasspin::core::membership
--- a/src/core/membership/front_assignment.cc
+++ b/src/core/membership/front_assignment.cc
@@ -1,84 +1,88 @@
+#include "core/membership/front_assignment.h"
+
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cstdint>
 #include <string>
 
-#include "core/membership/front_assignment.h"
-
 namespace eelgrasspin::core::membership {
 namespace {
 
-std::uint64_t weight(const ServerName& server, const DaemonName& daemon) {
+std::uint64_t rendezvous_weight(const ServerName& server,
+                                const DaemonName& daemon) {
   std::string text = server.str() + '|' + daemon.str();
   return XXH64(text.data(), text.size(), 0);
 }
 
-using Load = std::map<DaemonName, std::vector<ServerName>>;
+using ServersByDaemon = std::map<DaemonName, std::vector<ServerName>>;
 
-/// Servers whose front stays, by daemon.
-Load kept_servers(const Fronts& current, const std::vector<ServerName>& servers,
-                  const std::vector<RosterMember>& candidates) {
-  Load load;
-  for (const RosterMember& candidate : candidates) load[candidate.daemon];
+/// Servers that keep their current front, by daemon.
+ServersByDaemon retained_servers(const FrontAssignments& current,
+                                 const std::vector<ServerName>& servers,
+                                 const std::vector<RosterMember>& candidates) {
+  ServersByDaemon assigned;
+  for (const RosterMember& candidate : candidates) assigned[candidate.daemon];
   for (const ServerName& server : servers) {
     auto front = current.find(server);
     if (front == current.end()) continue;
-    auto kept = load.find(front->second.daemon);
-    if (kept != load.end()) kept->second.push_back(server);
+    auto retained = assigned.find(front->second.daemon);
+    if (retained != assigned.end()) retained->second.push_back(server);
   }
-  return load;
+  return assigned;
 }
 
-/// Takes servers from daemons above the limit, least preferred first.
-void trim(Load& load, std::size_t limit) {
-  for (auto& [daemon, servers] : load) {
+/// Takes servers away from daemons above the limit, those with the lowest
+/// rendezvous weight first.
+void trim_to_limit(ServersByDaemon& assigned, std::size_t limit) {
+  for (auto& [daemon, servers] : assigned) {
     if (servers.size() <= limit) continue;
     std::sort(
         servers.begin(), servers.end(),
         [&name = daemon](const ServerName& left, const ServerName& right) {
-          return weight(left, name) > weight(right, name);
+          return rendezvous_weight(left, name) > rendezvous_weight(right, name);
         });
     servers.resize(limit);
   }
 }
 
-DaemonName preferred(const ServerName& server, const Load& load,
-                     std::size_t limit) {
+DaemonName preferred_daemon(const ServerName& server,
+                            const ServersByDaemon& assigned,
+                            std::size_t limit) {
   DaemonName best;
   std::uint64_t best_weight = 0;
-  for (const auto& [daemon, servers] : load) {
-    std::uint64_t candidate_weight = weight(server, daemon);
+  for (const auto& [daemon, servers] : assigned) {
+    std::uint64_t weight = rendezvous_weight(server, daemon);
     bool full = servers.size() >= limit;
-    if (full || (!best.empty() && candidate_weight <= best_weight)) continue;
+    if (full || (!best.empty() && weight <= best_weight)) continue;
     best = daemon;
-    best_weight = candidate_weight;
+    best_weight = weight;
   }
   return best;
 }
 
-/// A process that starts again under its name has ended before; a front that
-/// had to wait for its predecessors has never sent to a server that does not
-/// check.
-void note_predecessor(FrontAssignment& front, const FrontAssignment& earlier) {
-  bool never_sent = earlier.awaiting_predecessor;
-  if (earlier.daemon.empty() || never_sent) return;
+/// A front that was still waiting for its predecessors is not added: it has
+/// never sent to a server that does not check grants. Callers skip a restart
+/// under the same name, since the earlier process has ended.
+void add_predecessor(FrontAssignment& front, const FrontAssignment& previous) {
+  bool never_sent = previous.awaiting_predecessor;
+  if (previous.daemon.empty() || never_sent) return;
   front.predecessors.push_back(
-      {earlier.daemon, earlier.incarnation, earlier.epoch});
+      {previous.daemon, previous.incarnation, previous.epoch});
 }
 
-FrontAssignment assignment(const FrontAssignment* earlier,
-                           const RosterMember& member) {
+FrontAssignment make_assignment(const FrontAssignment* previous,
+                                const RosterMember& member) {
   FrontAssignment front;
-  if (earlier != nullptr) front = *earlier;
-  bool same =
+  if (previous != nullptr) front = *previous;
+  bool unchanged =
       front.daemon == member.daemon && front.incarnation == member.incarnation;
   front.address = member.address;
-  if (same) return front;
-  if (earlier != nullptr && earlier->daemon != member.daemon)
-    note_predecessor(front, *earlier);
-  std::erase_if(front.predecessors, [&](const FrontPredecessor& before) {
-    return before.daemon == member.daemon;
+  if (unchanged) return front;
+  if (previous != nullptr && previous->daemon != member.daemon)
+    add_predecessor(front, *previous);
+  std::erase_if(front.predecessors, [&](const FrontPredecessor& predecessor) {
+    return predecessor.daemon == member.daemon;
   });
   front.daemon = member.daemon;
   front.incarnation = member.incarnation;
@@ -92,30 +96,30 @@
   return (servers + daemons - 1) / daemons + 1;
 }
 
-Fronts assign_fronts(const Fronts& current,
-                     const std::vector<ServerName>& servers,
-                     const std::vector<RosterMember>& candidates) {
+FrontAssignments assign_fronts(const FrontAssignments& current,
+                               const std::vector<ServerName>& servers,
+                               const std::vector<RosterMember>& candidates) {
   if (candidates.empty()) return current;
   std::size_t limit = front_limit(servers.size(), candidates.size());
-  Load load = kept_servers(current, servers, candidates);
-  trim(load, limit);
+  ServersByDaemon assigned = retained_servers(current, servers, candidates);
+  trim_to_limit(assigned, limit);
   std::map<ServerName, DaemonName> chosen;
-  for (const auto& [daemon, kept] : load) {
-    for (const ServerName& server : kept) chosen[server] = daemon;
+  for (const auto& [daemon, retained] : assigned) {
+    for (const ServerName& server : retained) chosen[server] = daemon;
   }
-  Fronts next = current;
+  FrontAssignments next = current;
   for (const ServerName& server : servers) {
     DaemonName& daemon = chosen[server];
     if (daemon.empty()) {
-      daemon = preferred(server, load, limit);
-      load[daemon].push_back(server);
+      daemon = preferred_daemon(server, assigned, limit);
+      assigned[daemon].push_back(server);
     }
     auto member = std::find_if(
         candidates.begin(), candidates.end(),
         [&](const RosterMember& each) { return each.daemon == daemon; });
-    auto earlier = current.find(server);
-    next[server] = assignment(
-        earlier == current.end() ? nullptr : &earlier->second, *member);
+    auto previous = current.find(server);
+    next[server] = make_assignment(
+        previous == current.end() ? nullptr : &previous->second, *member);
   }
   return next;
 }
--- a/src/core/membership/front_assignment.h
+++ b/src/core/membership/front_assignment.h
@@ -8,22 +8,22 @@
 #include "eelgrasspin/ids.h"
 #include "eelgrasspin/records.h"
 
-/// Which daemon fronts which backend server: bounded rendezvous hashing,
-/// sticky.
+/// Assigns a front daemon to each backend server by rendezvous hashing with a
+/// bounded load; assignments are sticky.
 namespace eelgrasspin::core::membership {
 
-using Fronts = std::map<ServerName, FrontAssignment>;
+using FrontAssignments = std::map<ServerName, FrontAssignment>;
 
-/// Most servers that one daemon fronts.
+/// Maximum number of servers that one daemon may front.
 std::size_t front_limit(std::size_t servers, std::size_t daemons);
 
-/// Gives each server a front among `candidates`. An assignment stays while its
-/// daemon is a candidate within the limit; each change of daemon or incarnation
-/// raises the front epoch and notes the earlier front as a predecessor. Without
-/// candidates nothing changes.
-Fronts assign_fronts(const Fronts& current,
-                     const std::vector<ServerName>& servers,
-                     const std::vector<RosterMember>& candidates);
+/// Assigns each server a front among `candidates`. An assignment is kept while
+/// its daemon is a candidate within the limit. Each change of daemon or
+/// incarnation raises the front epoch; a change of daemon also adds the
+/// previous front to the predecessors. Without candidates nothing changes.
+FrontAssignments assign_fronts(const FrontAssignments& current,
+                               const std::vector<ServerName>& servers,
+                               const std::vector<RosterMember>& candidates);
 
 }  // namespace eelgrasspin::core::membership
 
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -13,38 +13,39 @@
 namespace eelgrasspin::core::membership {
 namespace {
 
-/// Zones whose roster names this daemon, besides its own.
-std::vector<ZoneName> zones_involved(const core::State& state) {
+/// The daemon's own zone and other zones whose roster names it.
+std::vector<ZoneName> involved_zones(const core::State& state) {
   std::vector<ZoneName> zones{state.self.zone};
   const DaemonName& self = state.self.name;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
-        const auto* other = std::get_if<ZoneRoster>(&entry.record);
-        if (other == nullptr || other->zone == state.self.zone) return;
-        bool named = find_member(other->members, self) != nullptr ||
-                     find_member(other->lost, self) != nullptr;
-        for (const auto& [server, front] : other->fronts) {
+        const auto* zone_roster = std::get_if<ZoneRoster>(&entry.record);
+        if (zone_roster == nullptr || zone_roster->zone == state.self.zone)
+          return;
+        bool named = find_member(zone_roster->members, self) != nullptr ||
+                     find_member(zone_roster->lost, self) != nullptr;
+        for (const auto& [server, front] : zone_roster->fronts) {
           named = named || front.daemon == self;
-          for (const FrontPredecessor& earlier : front.predecessors)
-            named = named || earlier.daemon == self;
+          for (const FrontPredecessor& predecessor : front.predecessors)
+            named = named || predecessor.daemon == self;
         }
-        if (named) zones.push_back(other->zone);
+        if (named) zones.push_back(zone_roster->zone);
       });
   return zones;
 }
 
-/// Lost members this daemon answers no more.
-std::vector<DaemonName> silent_members(const core::State& state) {
-  std::vector<DaemonName> ignored_members;
-  const ZoneRoster* own = roster(state.cache, state.self.zone);
-  if (own == nullptr) return ignored_members;
-  for (const RosterMember& member : own->lost)
-    ignored_members.push_back(member.daemon);
-  return ignored_members;
+/// Lost members of the own zone; this daemon no longer answers them.
+std::vector<DaemonName> unanswered_members(const core::State& state) {
+  std::vector<DaemonName> unanswered;
+  const ZoneRoster* own_roster = roster(state.cache, state.self.zone);
+  if (own_roster == nullptr) return unanswered;
+  for (const RosterMember& member : own_roster->lost)
+    unanswered.push_back(member.daemon);
+  return unanswered;
 }
 
-/// A closure waits for fresh accounts.
-bool closure_under_way(const core::State& state) {
+/// Whether a closure is in progress, which needs fresh accounts.
+bool closure_in_progress(const core::State& state) {
   bool found = false;
   for_each_prefixed(state.cache, StoreKey("live/closure/"),
                     [&](const StoreEntry& entry) {
@@ -65,12 +66,12 @@
                  .round = state.membership.round,
                  .cache_revision = state.membership.revision,
                  .stopping = state.stopping,
-                 .reaches_store = reaches_store(state, now),
-                 .ignored_members = silent_members(state),
+                 .reaches_store = is_store_reachable(state, now),
+                 .silent = unanswered_members(state),
                  .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
   bool due = now.mono >= next_accounts || state.stopping;
-  if (due || closure_under_way(state)) {
+  if (due || closure_in_progress(state)) {
     next_accounts = now.mono + config::kAccountInterval;
     beat.accounts = request::accounts(state, now);
   }
@@ -78,17 +79,18 @@
 }
 
 void start_round(core::State& state, Now now) {
-  State& own = state.membership;
-  own.next_heartbeat = now.mono + config::kHeartbeatInterval;
-  ++own.round;
-  own.rounds.push_back({own.round, now.mono});
-  if (own.rounds.size() > config::kMaxHeartbeatRounds) own.rounds.pop_front();
+  State& membership = state.membership;
+  membership.next_heartbeat = now.mono + config::kHeartbeatInterval;
+  ++membership.round;
+  membership.sent_rounds.push_back({membership.round, now.mono});
+  if (membership.sent_rounds.size() > config::kMaxHeartbeatRounds)
+    membership.sent_rounds.pop_front();
 }
 
 void send_heartbeats(core::State& state, Now now, Effects& effects) {
   Heartbeat beat = make_heartbeat(state, now);
-  if (!coordinated_zones(state, now).empty()) take_reports(state, beat, now);
-  for (const ZoneName& zone : zones_involved(state)) {
+  if (!coordinated_zones(state, now).empty()) accept_reports(state, beat, now);
+  for (const ZoneName& zone : involved_zones(state)) {
     Endpoint to = coordinator_address(state, zone);
     if (to.empty() || to == state.self.address) continue;
     const CoordinatorLease* lease = coordinator_lease(state.cache, zone);
@@ -97,19 +99,21 @@
   }
 }
 
-/// Newest round of a member to be echoed to it. A stopping daemon vouches for
-/// nobody.
+/// Newest round received from a member, to be echoed to it. A stopping daemon
+/// echoes 0: it must not count as evidence that others are reachable.
 std::uint64_t echo_for(const core::State& state, const RosterMember& member) {
-  const Peer* known = peer(state, member.daemon);
-  bool same = known != nullptr && known->incarnation == member.incarnation;
-  return same && !state.stopping ? known->round : 0;
+  const Peer* peer = find_peer(state, member.daemon);
+  bool same_incarnation =
+      peer != nullptr && peer->incarnation == member.incarnation;
+  return same_incarnation && !state.stopping ? peer->round : 0;
 }
 
 void send_hellos(core::State& state, Effects& effects) {
-  for (const ZoneName& zone : zones_involved(state)) {
-    const ZoneRoster* members = roster(state.cache, zone);
-    if (members == nullptr) continue;
-    for (const RosterMember& member : neighbours(*members, state.self.name)) {
+  for (const ZoneName& zone : involved_zones(state)) {
+    const ZoneRoster* zone_roster = roster(state.cache, zone);
+    if (zone_roster == nullptr) continue;
+    for (const RosterMember& member :
+         neighbours(*zone_roster, state.self.name)) {
       PeerHello hello{.daemon = state.self.name,
                       .zone = zone,
                       .incarnation = state.self.incarnation,
@@ -120,65 +124,67 @@
   }
 }
 
-/// Null if the message is of a run that has been replaced by another.
-Peer* note_heard(core::State& state, const DaemonName& daemon,
-                 Incarnation incarnation, Now now) {
-  Peer& known = state.membership.peers[daemon];
-  if (incarnation == known.earlier_incarnation && incarnation.value != 0)
+/// Null if the message is from an incarnation that has been replaced by a later
+/// one.
+Peer* record_received(core::State& state, const DaemonName& daemon,
+                      Incarnation incarnation, Now now) {
+  Peer& peer = state.membership.peers[daemon];
+  if (incarnation == peer.previous_incarnation && incarnation.value != 0)
     return nullptr;
-  if (incarnation != known.incarnation) {
-    known = Peer{.incarnation = incarnation,
-                 .earlier_incarnation = known.incarnation};
+  if (incarnation != peer.incarnation) {
+    peer = Peer{.incarnation = incarnation,
+                .previous_incarnation = peer.incarnation};
   }
-  known.heard = now.mono;
-  return &known;
+  peer.last_received = now.mono;
+  return &peer;
 }
 
-std::optional<TimePoint> sent_time(const core::State& state,
-                                   std::uint64_t round) {
-  for (const SentRound& sent : state.membership.rounds) {
+std::optional<TimePoint> round_sent_time(const core::State& state,
+                                         std::uint64_t round) {
+  for (const SentRound& sent : state.membership.sent_rounds) {
     if (sent.round == round) return sent.sent;
   }
   return std::nullopt;
 }
 
-void note_echo(const core::State& state, Peer& known, std::uint64_t round) {
-  std::optional<TimePoint> sent = sent_time(state, round);
-  if (sent && (!known.echo_sent || *known.echo_sent < *sent))
-    known.echo_sent = sent;
+void update_echo(const core::State& state, Peer& peer, std::uint64_t round) {
+  std::optional<TimePoint> sent = round_sent_time(state, round);
+  if (sent && (!peer.echoed_round_sent || *peer.echoed_round_sent < *sent))
+    peer.echoed_round_sent = sent;
 }
 
-/// Sends what a member's cache lacks, at most once in each heartbeat interval.
-void fill_gap(core::State& state, const Heartbeat& beat, Peer& known, Now now,
-              Effects& effects) {
-  if (beat.cache_revision >= state.membership.sync.last_change) return;
-  if (now.mono - known.relayed_at < config::kHeartbeatInterval / 2) return;
-  known.relayed_at = now.mono;
-  send_missing(state, beat.address, beat.cache_revision, effects);
+/// Sends a member the entries that its cache lacks, at most once in half a
+/// heartbeat interval.
+void relay_missing_entries(core::State& state, const Heartbeat& beat,
+                           Peer& peer, Now now, Effects& effects) {
+  if (beat.cache_revision >= state.membership.sync.newest_relayed) return;
+  if (now.mono - peer.last_relayed < config::kHeartbeatInterval / 2) return;
+  peer.last_relayed = now.mono;
+  send_missing_entries(state, beat.address, beat.cache_revision, effects);
 }
 
 bool is_current_member(const core::State& state, const Heartbeat& beat) {
-  const ZoneRoster* members = roster(state.cache, beat.zone);
-  if (members == nullptr) return false;
-  const RosterMember* member = find_member(members->members, beat.daemon);
+  const ZoneRoster* zone_roster = roster(state.cache, beat.zone);
+  if (zone_roster == nullptr) return false;
+  const RosterMember* member = find_member(zone_roster->members, beat.daemon);
   return member != nullptr && member->incarnation == beat.incarnation;
 }
 
 void on_heartbeat(core::State& state, const Heartbeat& beat, Now now,
                   Effects& effects) {
-  Peer* known = note_heard(state, beat.daemon, beat.incarnation, now);
-  if (known == nullptr) return;
-  bool repeated = known->heartbeat && beat.round < known->heartbeat->round;
-  if (repeated) return;
+  Peer* peer = record_received(state, beat.daemon, beat.incarnation, now);
+  if (peer == nullptr) return;
+  bool outdated = peer->heartbeat && beat.round < peer->heartbeat->round;
+  if (outdated) return;
   if (!is_current_member(state, beat) || beat.stopping)
     state.membership.roster_due = true;
-  known->heartbeat = beat;
-  known->heartbeat->fronts.clear();
-  known->heartbeat->accounts.clear();
-  known->heartbeat_heard = now.mono;
+  peer->heartbeat = beat;
+  peer->heartbeat->fronts.clear();
+  peer->heartbeat->accounts.clear();
+  peer->heartbeat_received = now.mono;
   if (coordinated_zones(state, now).empty()) return;
-  take_reports(state, beat, now);
-  fill_gap(state, beat, *known, now, effects);
+  accept_reports(state, beat, now);
+  relay_missing_entries(state, beat, *peer, now, effects);
   if (!coordinates(state, beat.zone, now) || !is_current_member(state, beat))
     return;
   HeartbeatAnswer answer{
@@ -193,38 +199,39 @@
 void on_heartbeat_answer(core::State& state, const HeartbeatAnswer& answer,
                          Now now, Effects& effects) {
   const CoordinatorLease* lease = coordinator_lease(state.cache, answer.zone);
-  bool deposed = lease != nullptr && answer.coordinator_epoch < lease->epoch;
-  if (deposed && state.guards.fence) return;
-  std::optional<TimePoint> sent = sent_time(state, answer.round);
+  bool superseded = lease != nullptr && answer.coordinator_epoch < lease->epoch;
+  if (superseded && state.guards.fence) return;
+  std::optional<TimePoint> sent = round_sent_time(state, answer.round);
   if (!sent) return;
-  ZoneLease& observed = state.membership.leases[answer.zone];
-  observed.heard = now.mono;
-  note_evidence(observed, *sent);
-  note_store_up(state, now, effects);
-  state.membership.peers[answer.coordinator].heard = now.mono;
+  ObservedLease& observed = state.membership.leases[answer.zone];
+  observed.last_coordinator_message = now.mono;
+  confirm_membership(observed, *sent);
+  mark_store_up(state, now, effects);
+  state.membership.peers[answer.coordinator].last_received = now.mono;
 }
 
 void on_hello(core::State& state, const PeerHello& hello, Now now) {
-  const ZoneRoster* members = roster(state.cache, hello.zone);
-  if (members == nullptr) return;
-  const RosterMember* member = find_member(members->members, hello.daemon);
+  const ZoneRoster* zone_roster = roster(state.cache, hello.zone);
+  if (zone_roster == nullptr) return;
+  const RosterMember* member = find_member(zone_roster->members, hello.daemon);
   if (member == nullptr || member->incarnation != hello.incarnation) return;
-  Peer* known = note_heard(state, hello.daemon, hello.incarnation, now);
-  if (known == nullptr) return;
-  known->round = std::max(known->round, hello.round);
-  note_echo(state, *known, hello.echo);
+  Peer* peer = record_received(state, hello.daemon, hello.incarnation, now);
+  if (peer == nullptr) return;
+  peer->round = std::max(peer->round, hello.round);
+  update_echo(state, *peer, hello.echo);
 }
 
-/// Drops daemons not heard for long; their rosters have dropped them, too.
-void forget_silent_peers(core::State& state, Now now) {
+/// Drops daemons without a message for config::kPeerRetention; rosters have
+/// dropped them by then.
+void forget_expired_peers(core::State& state, Now now) {
   std::erase_if(state.membership.peers, [&](const auto& entry) {
-    return now.mono - entry.second.heard > config::kPeerRetention;
+    return now.mono - entry.second.last_received > config::kPeerRetention;
   });
 }
 
 }  // namespace
 
-const Peer* peer(const core::State& state, const DaemonName& daemon) {
+const Peer* find_peer(const core::State& state, const DaemonName& daemon) {
   auto it = state.membership.peers.find(daemon);
   return it == state.membership.peers.end() ? nullptr : &it->second;
 }
@@ -244,11 +251,11 @@
             [](const RosterMember& left, const RosterMember& right) {
               return left.daemon < right.daemon;
             });
-  auto own = std::find_if(
+  auto self_position = std::find_if(
       ring.begin(), ring.end(),
       [&](const RosterMember& member) { return member.daemon == self; });
-  if (own == ring.end()) return {};
-  std::rotate(ring.begin(), own, ring.end());
+  if (self_position == ring.end()) return {};
+  std::rotate(ring.begin(), self_position, ring.end());
   ring.erase(ring.begin());
   if (ring.size() <= config::kHelloNeighbours) return ring;
   constexpr std::ptrdiff_t kEachSide = config::kHelloNeighbours / 2;
@@ -272,7 +279,7 @@
   start_round(state, now);
   send_heartbeats(state, now, effects);
   send_hellos(state, effects);
-  forget_silent_peers(state, now);
+  forget_expired_peers(state, now);
 }
 
 }  // namespace eelgrasspin::core::membership
--- a/src/core/membership/liveness.h
+++ b/src/core/membership/liveness.h
@@ -5,19 +5,22 @@
 #include "core/event.h"
 #include "core/state.h"
 
-/// Heartbeats to coordinators, hellos between neighbours, and what they prove.
+/// Heartbeats to coordinators, hellos between neighbours, and the evidence of
+/// liveness that both provide.
 namespace eelgrasspin::core::membership {
 
 void step_liveness(core::State& state, const Event& event, Now now,
                    Effects& effects);
 
-/// A daemon as last heard; null if it never was.
-const Peer* peer(const core::State& state, const DaemonName& daemon);
+/// What is known of another daemon from its messages; null if it never sent
+/// one.
+const Peer* find_peer(const core::State& state, const DaemonName& daemon);
 
 const RosterMember* find_member(const std::vector<RosterMember>& members,
                                 const DaemonName& daemon);
 
-/// Members of a roster that `self` exchanges hellos with.
+/// Members of a roster that `self` exchanges hellos with: its nearest
+/// neighbours on a ring ordered by name.
 std::vector<RosterMember> neighbours(const ZoneRoster& roster,
                                      const DaemonName& self);
 
--- a/src/core/membership/lost_members.cc
+++ b/src/core/membership/lost_members.cc
@@ -10,33 +10,34 @@
 namespace eelgrasspin::core::membership {
 namespace {
 
-const ZoneWatch* zone_watch(const core::State& state, const ZoneName& zone) {
+const CoordinatedZone* find_coordinated_zone(const core::State& state,
+                                             const ZoneName& zone) {
   auto it = state.membership.zones.find(zone);
   return it == state.membership.zones.end() ? nullptr : &it->second;
 }
 
-void collect_promises(const core::State& state, const DaemonName& lost,
-                      LossWatch& loss, Now now) {
-  for (const auto& [name, other] : state.membership.peers) {
-    if (!other.heartbeat || other.heartbeat->cache_revision < loss.version)
+void collect_promises(const core::State& state, const DaemonName& daemon,
+                      LostMember& lost_member, Now now) {
+  for (const auto& [name, peer] : state.membership.peers) {
+    if (!peer.heartbeat ||
+        peer.heartbeat->cache_revision < lost_member.listed_version)
       continue;
-    const std::vector<DaemonName>& ignored_members =
-        other.heartbeat->ignored_members;
-    bool promises = std::find(ignored_members.begin(), ignored_members.end(),
-                              lost) != ignored_members.end();
-    if (promises) loss.promised.emplace(name, now.mono);
+    const std::vector<DaemonName>& silent = peer.heartbeat->silent;
+    bool is_promised =
+        std::find(silent.begin(), silent.end(), daemon) != silent.end();
+    if (is_promised) lost_member.promises.emplace(name, now.mono);
   }
 }
 
-/// When the last of the others promised; none while one has not.
-std::optional<TimePoint> last_promise(const core::State& state,
-                                      const ZoneRoster& known,
-                                      const LossWatch& loss) {
-  TimePoint last = loss.noted;
-  for (const RosterMember& member : known.members) {
+/// When the last of the other members promised; not set while one has not.
+std::optional<TimePoint> last_promise_time(const core::State& state,
+                                           const ZoneRoster& zone_roster,
+                                           const LostMember& lost_member) {
+  TimePoint last = lost_member.lost_since;
+  for (const RosterMember& member : zone_roster.members) {
     if (member.daemon == state.self.name) continue;
-    auto promise = loss.promised.find(member.daemon);
-    if (promise == loss.promised.end()) return std::nullopt;
+    auto promise = lost_member.promises.find(member.daemon);
+    if (promise == lost_member.promises.end()) return std::nullopt;
     last = std::max(last, promise->second);
   }
   return last;
@@ -44,64 +45,75 @@
 
 }  // namespace
 
-bool is_silent(const core::State& state, const ZoneName& zone,
-               const RosterMember& member, Now now) {
-  const ZoneLease* lease = observed_lease(state, zone);
-  const Peer* known = peer(state, member.daemon);
-  TimePoint from = state.membership.resumed;
-  bool heard = known != nullptr && (known->incarnation == member.incarnation ||
-                                    known->incarnation.value == 0);
-  if (heard) from = std::max(from, known->heard);
-  bool stood_before =
-      heard && lease != nullptr && member.daemon == lease->earlier_holder;
-  bool known_gone = daemon_vm_gone(state, member.daemon) ||
-                    is_fenced(state, member.daemon, member.incarnation);
-  if (lease != nullptr && !stood_before && !known_gone)
-    from = std::max(from, lease->since);
-  return now.mono - from > config::kDaemonLostAfter;
+bool member_timed_out(const core::State& state, const ZoneName& zone,
+                      const RosterMember& member, Now now) {
+  const ObservedLease* lease = observed_lease(state, zone);
+  const Peer* peer = find_peer(state, member.daemon);
+  // Members send heartbeats only to the coordinator, so their silence counts
+  // from the start of this daemon's role at the earliest, unless they are known
+  // to have ended. The previous coordinator answered this daemon's heartbeats,
+  // so its silence counts from its last message.
+  TimePoint silent_since = state.membership.running_since;
+  bool received = peer != nullptr && (peer->incarnation == member.incarnation ||
+                                      peer->incarnation.value == 0);
+  if (received) silent_since = std::max(silent_since, peer->last_received);
+  bool was_coordinator =
+      received && lease != nullptr && member.daemon == lease->previous_holder;
+  bool known_to_have_ended =
+      daemon_vm_gone(state, member.daemon) ||
+      is_fenced(state, member.daemon, member.incarnation);
+  if (lease != nullptr && !was_coordinator && !known_to_have_ended)
+    silent_since = std::max(silent_since, lease->coordinator_since);
+  return now.mono - silent_since > config::kDaemonLostAfter;
 }
 
-void watch_losses(core::State& state, const ZoneName& zone, Now now) {
-  ZoneWatch& watch = state.membership.zones[zone];
-  const ZoneRoster* known = roster(state.cache, zone);
-  if (known == nullptr) return;
-  std::erase_if(watch.losses, [&](const auto& entry) {
-    const RosterMember* lost = find_member(known->lost, entry.first);
+void track_lost_members(core::State& state, const ZoneName& zone, Now now) {
+  CoordinatedZone& coordinated = state.membership.zones[zone];
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
+  if (zone_roster == nullptr) return;
+  std::erase_if(coordinated.lost_members, [&](const auto& entry) {
+    const RosterMember* lost = find_member(zone_roster->lost, entry.first);
     return lost == nullptr || lost->incarnation != entry.second.incarnation;
   });
-  for (const RosterMember& lost : known->lost) {
-    LossWatch fresh{.incarnation = lost.incarnation,
-                    .version = version_of(state.cache, roster_key(zone)),
-                    .noted = now.mono};
-    LossWatch& loss = watch.losses.emplace(lost.daemon, fresh).first->second;
-    collect_promises(state, lost.daemon, loss, now);
+  for (const RosterMember& lost : zone_roster->lost) {
+    LostMember new_entry{
+        .incarnation = lost.incarnation,
+        .listed_version = version_of(state.cache, roster_key(zone)),
+        .lost_since = now.mono};
+    LostMember& lost_member =
+        coordinated.lost_members.emplace(lost.daemon, new_entry).first->second;
+    collect_promises(state, lost.daemon, lost_member, now);
   }
 }
 
-bool has_ended(const core::State& state, const ZoneName& zone,
-               const DaemonName& daemon, Incarnation incarnation) {
+bool instance_has_ended(const core::State& state, const ZoneName& zone,
+                        const DaemonName& daemon, Incarnation incarnation) {
   if (daemon_vm_gone(state, daemon)) return true;
   if (is_fenced(state, daemon, incarnation)) return true;
-  const ZoneRoster* known = roster(state.cache, zone);
-  if (known == nullptr) return false;
-  const RosterMember* present = find_member(known->members, daemon);
-  return present != nullptr && present->incarnation != incarnation;
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
+  if (zone_roster == nullptr) return false;
+  const RosterMember* current = find_member(zone_roster->members, daemon);
+  return current != nullptr && current->incarnation != incarnation;
 }
 
-bool lone_front_stopped(const core::State& state, const ZoneName& zone,
-                        const DaemonName& daemon, Incarnation incarnation,
-                        Now now) {
-  const ZoneRoster* known = roster(state.cache, zone);
-  const ZoneWatch* watch = zone_watch(state, zone);
-  if (known == nullptr || watch == nullptr) return false;
-  const RosterMember* lost = find_member(known->lost, daemon);
-  auto loss = watch->losses.find(daemon);
-  if (lost == nullptr || loss == watch->losses.end()) return false;
-  bool bound = lost->incarnation == incarnation && lost->acknowledged;
-  bool another_lost = known->lost.size() > 1;
-  if (!bound || another_lost) return false;
-  std::optional<TimePoint> last = last_promise(state, *known, loss->second);
-  return last && now.mono - *last >= config::kIsolatedFrontLapseDelay;
+bool isolated_front_stopped(const core::State& state, const ZoneName& zone,
+                            const DaemonName& daemon, Incarnation incarnation,
+                            Now now) {
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
+  const CoordinatedZone* coordinated = find_coordinated_zone(state, zone);
+  if (zone_roster == nullptr || coordinated == nullptr) return false;
+  const RosterMember* listed = find_member(zone_roster->lost, daemon);
+  auto lost_member = coordinated->lost_members.find(daemon);
+  if (listed == nullptr || lost_member == coordinated->lost_members.end())
+    return false;
+  bool obeys_isolated_front_rule =
+      listed->incarnation == incarnation && listed->acknowledged;
+  bool another_lost = zone_roster->lost.size() > 1;
+  if (!obeys_isolated_front_rule || another_lost) return false;
+  std::optional<TimePoint> last_promised =
+      last_promise_time(state, *zone_roster, lost_member->second);
+  return last_promised &&
+         now.mono - *last_promised >= config::kIsolatedFrontLapseDelay;
 }
 
 }  // namespace eelgrasspin::core::membership
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -13,60 +13,65 @@
 namespace eelgrasspin::core::membership {
 namespace {
 
-bool holds(const ZoneLease& lease, Now now) {
+bool holds_lease(const ObservedLease& lease, Now now) {
   return lease.held && !lease.releasing && now.mono < lease.valid_until;
 }
 
-/// Time up to which the store, the coordinator or another member of the roster
-/// is known to count on this daemon.
-TimePoint latest_evidence(const core::State& state, const ZoneRoster& known) {
+/// Latest time at which this daemon sent a message that the store, the
+/// coordinator or another roster member is known to have received.
+TimePoint latest_confirmation(const core::State& state,
+                              const ZoneRoster& zone_roster) {
   TimePoint latest;
-  const ZoneLease* lease = observed_lease(state, known.zone);
-  if (lease != nullptr && lease->evidence) latest = *lease->evidence;
-  for (const RosterMember& member : known.members) {
-    const Peer* other = peer(state, member.daemon);
-    if (other != nullptr && other->echo_sent)
-      latest = std::max(latest, *other->echo_sent);
+  const ObservedLease* lease = observed_lease(state, zone_roster.zone);
+  if (lease != nullptr && lease->last_confirmed)
+    latest = *lease->last_confirmed;
+  for (const RosterMember& member : zone_roster.members) {
+    const Peer* peer = find_peer(state, member.daemon);
+    if (peer != nullptr && peer->echoed_round_sent)
+      latest = std::max(latest, *peer->echoed_round_sent);
   }
   return latest;
 }
 
-bool is_alone_on(const core::State& state, const ZoneRoster& known, Now now) {
-  const RosterMember* own = find_member(known.members, state.self.name);
-  bool bound = own != nullptr && own->incarnation == state.self.incarnation &&
-               known.members.size() > 1;
-  return bound && now.mono - latest_evidence(state, known) >
-                      config::kIsolatedFrontTimeout;
+bool is_isolated_member(const core::State& state, const ZoneRoster& zone_roster,
+                        Now now) {
+  const RosterMember* own = find_member(zone_roster.members, state.self.name);
+  bool obeys_isolated_front_rule = own != nullptr &&
+                                   own->incarnation == state.self.incarnation &&
+                                   zone_roster.members.size() > 1;
+  return obeys_isolated_front_rule &&
+         now.mono - latest_confirmation(state, zone_roster) >
+             config::kIsolatedFrontTimeout;
 }
 
 }  // namespace
 
 void step(core::State& state, const Event& event, Now now, Effects& effects) {
   if (std::holds_alternative<Started>(event) || state.resumed_from_pause)
-    state.membership.resumed = now.mono;
-  step_sync(state, event, now, effects);
+    state.membership.running_since = now.mono;
+  step_store_sync(state, event, now, effects);
   step_fences(state, now);
   step_leases(state, event, now, effects);
   step_liveness(state, event, now, effects);
-  step_vms(state, event, now, effects);
+  step_vm_list(state, event, now, effects);
   step_rosters(state, event, now, effects);
 }
 
 std::vector<ZoneName> coordinated_zones(const core::State& state, Now now) {
   std::vector<ZoneName> zones;
   for (const auto& [zone, lease] : state.membership.leases) {
-    if (holds(lease, now)) zones.push_back(zone);
+    if (holds_lease(lease, now)) zones.push_back(zone);
   }
   return zones;
 }
 
 bool coordinates(const core::State& state, const ZoneName& zone, Now now) {
-  const ZoneLease* lease = observed_lease(state, zone);
-  return lease != nullptr && holds(*lease, now);
+  const ObservedLease* lease = observed_lease(state, zone);
+  return lease != nullptr && holds_lease(*lease, now);
 }
 
 TermEpoch coordinator_epoch(const core::State& state, const ZoneName& zone) {
-  const ZoneLease* lease = observed_lease(state, zone);
+  const ObservedLease* lease = observed_lease(state, zone);
   return lease != nullptr && lease->held ? lease->epoch : TermEpoch(0);
 }
 
@@ -85,7 +90,7 @@
   return state.membership.accounts;
 }
 
-void report_soon(core::State& state, Now now) {
+void expedite_heartbeat(core::State& state, Now now) {
   TimePoint& next = state.membership.next_heartbeat;
   TimePoint last = next - config::kHeartbeatInterval;
   TimePoint earliest =
@@ -93,19 +98,21 @@
   next = std::min(next, earliest);
 }
 
-bool reaches_store(const core::State& state, Now now) {
+bool is_store_reachable(const core::State& state, Now now) {
   const StoreSync& sync = state.membership.sync;
-  return sync.heard && now.mono - *sync.heard <= config::kStoreUnreachableAfter;
+  return sync.last_answer &&
+         now.mono - *sync.last_answer <= config::kStoreUnreachableAfter;
 }
 
 bool may_renew_grants(const core::State& state, Now now) {
-  bool alone = false;
+  bool isolated = false;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
-        const auto* known = std::get_if<ZoneRoster>(&entry.record);
-        alone = alone || (known != nullptr && is_alone_on(state, *known, now));
+        const auto* zone_roster = std::get_if<ZoneRoster>(&entry.record);
+        isolated = isolated || (zone_roster != nullptr &&
+                                is_isolated_member(state, *zone_roster, now));
       });
-  return !alone;
+  return !isolated;
 }
 
 void set_server_status(core::State& state, const ServerName& server,
--- a/src/core/membership/reports.h
+++ b/src/core/membership/reports.h
@@ -3,20 +3,20 @@
 
 #include "core/state.h"
 
-/// What the fronts and daemons of coordinated zones report with their
+/// Reports and accounts that the daemons of coordinated zones send with their
 /// heartbeats.
 namespace eelgrasspin::core::membership {
 
-/// Keeps a heartbeat's reports and accounts as far as they concern a zone that
-/// this daemon coordinates.
-void take_reports(core::State& state, const Heartbeat& beat, Now now);
+/// Keeps those reports and accounts of a heartbeat that concern a zone
+/// coordinated by this daemon.
+void accept_reports(core::State& state, const Heartbeat& beat, Now now);
 
-/// Drops reports, and accounts of former members, that a new roster has made
-/// void.
-void drop_void_reports(core::State& state, const ZoneRoster& before,
-                       const ZoneRoster& roster);
+/// Drops reports of replaced fronts and accounts of removed members after a
+/// change of the roster.
+void drop_obsolete_reports(core::State& state, const ZoneRoster& before,
+                           const ZoneRoster& roster);
 
-/// Whether an earlier front has reported that it stopped.
+/// Whether a previous front, named by its epoch, has reported that it stopped.
 bool reported_stopped(const core::State& state, const ServerName& server,
                       FrontEpoch epoch);
 
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -15,108 +15,114 @@
 namespace eelgrasspin::core::membership {
 namespace {
 
-bool heard_lately(const Peer& other, Now now) {
-  return other.heartbeat &&
-         now.mono - other.heartbeat_heard <= config::kDaemonLostAfter;
+bool sends_heartbeats(const Peer& peer, Now now) {
+  return peer.heartbeat &&
+         now.mono - peer.heartbeat_received <= config::kDaemonLostAfter;
 }
 
-/// The run of a daemon that sends heartbeats now, if it is of this zone.
-std::optional<RosterMember> present_run(const core::State& state,
+/// The instance of a daemon that currently sends heartbeats, if it belongs to
+/// this zone.
+std::optional<RosterMember> live_member(const core::State& state,
                                         const ZoneName& zone,
                                         const DaemonName& daemon, Now now) {
-  const Peer* known = peer(state, daemon);
-  if (known == nullptr || !heard_lately(*known, now)) return std::nullopt;
-  const Heartbeat& beat = *known->heartbeat;
+  const Peer* peer = find_peer(state, daemon);
+  if (peer == nullptr || !sends_heartbeats(*peer, now)) return std::nullopt;
+  const Heartbeat& beat = *peer->heartbeat;
   if (beat.zone != zone) return std::nullopt;
   return RosterMember{daemon, beat.address, beat.incarnation};
 }
 
 bool is_of_other_zone(const core::State& state, const ZoneName& zone,
                       const DaemonName& daemon) {
-  const Peer* known = peer(state, daemon);
-  return known != nullptr && known->heartbeat && known->heartbeat->zone != zone;
+  const Peer* peer = find_peer(state, daemon);
+  return peer != nullptr && peer->heartbeat && peer->heartbeat->zone != zone;
 }
 
 bool is_stopping(const core::State& state, const DaemonName& daemon) {
   if (daemon == state.self.name) return state.stopping;
-  const Peer* known = peer(state, daemon);
-  return known != nullptr && known->heartbeat && known->heartbeat->stopping;
+  const Peer* peer = find_peer(state, daemon);
+  return peer != nullptr && peer->heartbeat && peer->heartbeat->stopping;
 }
 
-void lose_member(const core::State& state, const RosterMember& member,
-                 ZoneRoster& next) {
-  std::erase_if(next.lost, [&](const RosterMember& lost) {
+void move_to_lost(const core::State& state, const RosterMember& member,
+                  ZoneRoster& planned) {
+  std::erase_if(planned.lost, [&](const RosterMember& lost) {
     return lost.daemon == member.daemon;
   });
-  if (!is_stopping(state, member.daemon)) next.lost.push_back(member);
+  if (!is_stopping(state, member.daemon)) planned.lost.push_back(member);
 }
 
-/// Keeps, replaces or removes one member of the roster in force.
-void carry_over(const core::State& state, const RosterMember& member, Now now,
-                ZoneRoster& next) {
+/// Keeps, replaces or removes one member of the current roster.
+void plan_existing_member(const core::State& state, const RosterMember& member,
+                          Now now, ZoneRoster& planned) {
   if (member.daemon == state.self.name) return;
-  if (is_of_other_zone(state, next.zone, member.daemon)) return;
-  auto present = present_run(state, next.zone, member.daemon, now);
-  if (present && present->incarnation != member.incarnation) return;
-  if (is_silent(state, next.zone, member, now))
-    lose_member(state, member, next);
+  if (is_of_other_zone(state, planned.zone, member.daemon)) return;
+  auto live = live_member(state, planned.zone, member.daemon, now);
+  if (live && live->incarnation != member.incarnation) return;
+  if (member_timed_out(state, planned.zone, member, now))
+    move_to_lost(state, member, planned);
   else
-    next.members.push_back(member);
+    planned.members.push_back(member);
 }
 
-void add_newcomers(const core::State& state, Now now, ZoneRoster& next) {
-  for (const auto& [daemon, other] : state.membership.peers) {
-    auto present = present_run(state, next.zone, daemon, now);
-    if (!present || find_member(next.members, daemon) != nullptr) continue;
-    if (daemon != state.self.name) next.members.push_back(*present);
+void add_new_members(const core::State& state, Now now, ZoneRoster& planned) {
+  for (const auto& [daemon, peer] : state.membership.peers) {
+    auto live = live_member(state, planned.zone, daemon, now);
+    if (!live || find_member(planned.members, daemon) != nullptr) continue;
+    if (daemon != state.self.name) planned.members.push_back(*live);
   }
 }
 
-/// A coordinator of another zone is a member only while the zone has no daemon
-/// of its own.
-void add_self(const core::State& state, ZoneRoster& next) {
-  bool home = next.zone == state.self.zone;
-  if (!home && !next.members.empty()) return;
-  next.members.push_back(
+/// A coordinator from another zone is a member only while the zone has no
+/// daemon of its own.
+void add_self(const core::State& state, ZoneRoster& planned) {
+  bool is_own_zone = planned.zone == state.self.zone;
+  if (!is_own_zone && !planned.members.empty()) return;
+  planned.members.push_back(
       {state.self.name, state.self.address, state.self.incarnation});
 }
 
-bool has_shown_roster(const core::State& state, const ZoneRoster& in_force,
-                      const RosterMember& member) {
-  const RosterMember* known = find_member(in_force.members, member.daemon);
-  bool listed = known != nullptr && known->incarnation == member.incarnation;
-  if (!listed || in_force.members.size() < 2) return false;
-  if (known->acknowledged || member.daemon == state.self.name) return true;
-  const Peer* other = peer(state, member.daemon);
-  if (other == nullptr || !other->heartbeat) return false;
-  Version version = version_of(state.cache, roster_key(in_force.zone));
-  return other->heartbeat->incarnation == member.incarnation &&
-         other->heartbeat->cache_revision >= version;
+bool knows_roster(const core::State& state, const ZoneRoster& current,
+                  const RosterMember& member) {
+  const RosterMember* listed_member =
+      find_member(current.members, member.daemon);
+  bool listed = listed_member != nullptr &&
+                listed_member->incarnation == member.incarnation;
+  if (!listed || current.members.size() < 2) return false;
+  if (listed_member->acknowledged || member.daemon == state.self.name)
+    return true;
+  const Peer* peer = find_peer(state, member.daemon);
+  if (peer == nullptr || !peer->heartbeat) return false;
+  Version version = version_of(state.cache, roster_key(current.zone));
+  return peer->heartbeat->incarnation == member.incarnation &&
+         peer->heartbeat->cache_revision >= version;
 }
 
-void plan_members(const core::State& state, const ZoneRoster& in_force, Now now,
-                  ZoneRoster& next) {
-  next.members.clear();
-  for (const RosterMember& member : in_force.members)
-    carry_over(state, member, now, next);
-  add_newcomers(state, now, next);
-  add_self(state, next);
-  std::sort(next.members.begin(), next.members.end(),
+void plan_members(const core::State& state, const ZoneRoster& current, Now now,
+                  ZoneRoster& planned) {
+  planned.members.clear();
+  for (const RosterMember& member : current.members)
+    plan_existing_member(state, member, now, planned);
+  add_new_members(state, now, planned);
+  add_self(state, planned);
+  std::sort(planned.members.begin(), planned.members.end(),
             [](const RosterMember& left, const RosterMember& right) {
               return left.daemon < right.daemon;
             });
-  for (RosterMember& member : next.members) {
+  for (RosterMember& member : planned.members) {
     member.acknowledged =
-        next.members.size() > 1 && has_shown_roster(state, in_force, member);
+        planned.members.size() > 1 && knows_roster(state, current, member);
   }
 }
 
-void plan_losses(const core::State& state, Now now, ZoneRoster& next) {
-  std::erase_if(next.lost, [&](const RosterMember& lost) {
-    bool back = find_member(next.members, lost.daemon) != nullptr;
-    return back || has_ended(state, next.zone, lost.daemon, lost.incarnation) ||
-           lone_front_stopped(state, next.zone, lost.daemon, lost.incarnation,
-                              now);
+void plan_lost_members(const core::State& state, Now now, ZoneRoster& planned) {
+  std::erase_if(planned.lost, [&](const RosterMember& lost) {
+    bool rejoined = find_member(planned.members, lost.daemon) != nullptr;
+    return rejoined ||
+           instance_has_ended(state, planned.zone, lost.daemon,
+                              lost.incarnation) ||
+           isolated_front_stopped(state, planned.zone, lost.daemon,
+                                  lost.incarnation, now);
   });
 }
 
@@ -130,9 +136,9 @@
 }
 
 std::vector<RosterMember> front_candidates(const core::State& state,
-                                           const ZoneRoster& next) {
+                                           const ZoneRoster& planned) {
   std::vector<RosterMember> candidates;
-  for (const RosterMember& member : next.members) {
+  for (const RosterMember& member : planned.members) {
     bool leaving = is_stopping(state, member.daemon) ||
                    vm_leaving(state, member.daemon.str());
     if (!leaving) candidates.push_back(member);
@@ -140,7 +146,7 @@
   return candidates;
 }
 
-bool obeys_present_front(const core::State& state, const ServerName& server,
+bool obeys_current_front(const core::State& state, const ServerName& server,
                          const FrontAssignment& front) {
   const auto& reports = state.membership.front_reports;
   auto report = reports.find(server);
@@ -148,128 +154,134 @@
          report->second.front_epoch == front.epoch;
 }
 
-bool has_stopped(const core::State& state, const ZoneName& zone,
-                 const ServerName& server, const FrontPredecessor& earlier,
-                 Now now) {
-  return reported_stopped(state, server, earlier.epoch) ||
-         has_ended(state, zone, earlier.daemon, earlier.incarnation) ||
-         lone_front_stopped(state, zone, earlier.daemon, earlier.incarnation,
-                            now);
+bool predecessor_has_stopped(const core::State& state, const ZoneName& zone,
+                             const ServerName& server,
+                             const FrontPredecessor& predecessor, Now now) {
+  return reported_stopped(state, server, predecessor.epoch) ||
+         instance_has_ended(state, zone, predecessor.daemon,
+                            predecessor.incarnation) ||
+         isolated_front_stopped(state, zone, predecessor.daemon,
+                                predecessor.incarnation, now);
 }
 
-void settle_predecessors(const core::State& state, Now now, ZoneRoster& next) {
-  for (auto& [name, front] : next.fronts) {
+void plan_predecessors(const core::State& state, Now now, ZoneRoster& planned) {
+  for (auto& [name, front] : planned.fronts) {
     const ServerDeclaration* server = server_declaration(state.cache, name);
     bool checks = server == nullptr || server->checks_grants;
-    if (checks && obeys_present_front(state, name, front))
+    if (checks && obeys_current_front(state, name, front))
       front.predecessors.clear();
     std::erase_if(front.predecessors, [&, &server_name = name](
-                                          const FrontPredecessor& earlier) {
-      return has_stopped(state, next.zone, server_name, earlier, now);
+                                          const FrontPredecessor& predecessor) {
+      return predecessor_has_stopped(state, planned.zone, server_name,
+                                     predecessor, now);
     });
     front.awaiting_predecessor =
         !checks && !front.predecessors.empty() && state.guards.revocation_wait;
   }
 }
 
-/// A server that is not declared any more has no front; its epoch is kept.
-void drop_undeclared(const core::State& state, ZoneRoster& next) {
-  for (auto& [name, front] : next.fronts) {
+/// A server that is no longer declared has no front; its front epoch is kept.
+void clear_undeclared_fronts(const core::State& state, ZoneRoster& planned) {
+  for (auto& [name, front] : planned.fronts) {
     if (server_declaration(state.cache, name) == nullptr)
       front = FrontAssignment{.epoch = front.epoch};
   }
 }
 
-void plan_fronts(const core::State& state, Now now, ZoneRoster& next) {
+void plan_fronts(const core::State& state, Now now, ZoneRoster& planned) {
   const Declarations* declared = declarations(state.cache);
   if (declared == nullptr) return;
-  next.fronts =
-      assign_fronts(next.fronts, servers_of_zone(*declared, next.zone),
-                    front_candidates(state, next));
-  drop_undeclared(state, next);
-  settle_predecessors(state, now, next);
+  planned.fronts =
+      assign_fronts(planned.fronts, servers_of_zone(*declared, planned.zone),
+                    front_candidates(state, planned));
+  clear_undeclared_fronts(state, planned);
+  plan_predecessors(state, now, planned);
 }
 
-ServerStatus status_of(const ZoneRoster& known, const ServerName& server) {
-  auto it = known.statuses.find(server);
-  return it == known.statuses.end() ? ServerStatus::kActive : it->second;
+ServerStatus status_of(const ZoneRoster& zone_roster,
+                       const ServerName& server) {
+  auto it = zone_roster.statuses.find(server);
+  return it == zone_roster.statuses.end() ? ServerStatus::kActive : it->second;
 }
 
-/// What the VM list says of a server; no word unless it is leaving or gone.
+/// Status of a server according to the VM list; not set unless its VM is
+/// leaving or gone.
 std::optional<ServerStatus> listed_status(const core::State& state,
-                                          const ZoneRoster& next,
+                                          const ZoneRoster& planned,
                                           const ServerName& server) {
-  ServerStatus status = status_of(next, server);
+  ServerStatus status = status_of(planned, server);
   bool active = status == ServerStatus::kActive;
   if (active && vm_leaving(state, server.str())) return ServerStatus::kDraining;
-  auto front = next.fronts.find(server);
-  bool obeys = front != next.fronts.end() &&
-               obeys_present_front(state, server, front->second);
+  auto front = planned.fronts.find(server);
+  bool obeys = front != planned.fronts.end() &&
+               obeys_current_front(state, server, front->second);
   if (vm_gone(state, server.str()) && !obeys) return ServerStatus::kLost;
   return std::nullopt;
 }
 
-void plan_statuses(const core::State& state, ZoneRoster& next) {
-  for (const auto& [server, front] : next.fronts) {
+void plan_statuses(const core::State& state, ZoneRoster& planned) {
+  for (const auto& [server, front] : planned.fronts) {
     auto wanted = state.membership.wanted_statuses.find(server);
     if (wanted != state.membership.wanted_statuses.end())
-      next.statuses[server] = wanted->second;
-    if (auto listed = listed_status(state, next, server))
-      next.statuses[server] = *listed;
+      planned.statuses[server] = wanted->second;
+    if (auto listed = listed_status(state, planned, server))
+      planned.statuses[server] = *listed;
   }
-  std::erase_if(next.statuses, [](const auto& entry) {
+  std::erase_if(planned.statuses, [](const auto& entry) {
     return entry.second == ServerStatus::kActive;
   });
 }
 
-/// A fence stands until a daemon of the zone joins again.
-void plan_fence(const core::State& state, const ZoneRoster& in_force,
-                ZoneRoster& next) {
-  bool joined = std::any_of(
-      next.members.begin(), next.members.end(), [&](const RosterMember& each) {
-        return each.daemon != state.self.name &&
-               find_member(in_force.members, each.daemon) == nullptr;
-      });
-  next.fenced =
-      zone_is_fenced(state, next.zone) || (in_force.fenced && !joined);
+/// A zone stays fenced until one of its daemons joins again.
+void plan_fence(const core::State& state, const ZoneRoster& current,
+                ZoneRoster& planned) {
+  bool joined =
+      std::any_of(planned.members.begin(), planned.members.end(),
+                  [&](const RosterMember& each) {
+                    return each.daemon != state.self.name &&
+                           find_member(current.members, each.daemon) == nullptr;
+                  });
+  planned.fenced =
+      zone_is_fenced(state, planned.zone) || (current.fenced && !joined);
 }
 
-void forget_met_statuses(core::State& state, const ZoneRoster& in_force) {
+void drop_reached_statuses(core::State& state, const ZoneRoster& current) {
   std::erase_if(state.membership.wanted_statuses, [&](const auto& wanted) {
-    return in_force.fronts.contains(wanted.first) &&
-           status_of(in_force, wanted.first) == wanted.second;
+    return current.fronts.contains(wanted.first) &&
+           status_of(current, wanted.first) == wanted.second;
   });
 }
 
-/// A coordinator from another zone goes once the zone's own daemon has the
-/// fronts.
-void go_home(core::State& state, const ZoneRoster& in_force, Now now) {
-  if (in_force.zone == state.self.zone) return;
-  if (find_member(in_force.members, state.self.name) != nullptr) return;
-  bool succeeded = std::any_of(in_force.members.begin(), in_force.members.end(),
-                               [&](const RosterMember& member) {
-                                 return present_run(state, in_force.zone,
-                                                    member.daemon, now) &&
-                                        !is_stopping(state, member.daemon);
-                               });
-  if (succeeded) release_lease(state, in_force.zone);
+/// A coordinator from another zone releases its lease once a daemon of the zone
+/// itself is a member and has the fronts, and this one is a member no more.
+void release_other_zone(core::State& state, const ZoneRoster& current,
+                        Now now) {
+  if (current.zone == state.self.zone) return;
+  if (find_member(current.members, state.self.name) != nullptr) return;
+  bool has_successor = std::any_of(
+      current.members.begin(), current.members.end(),
+      [&](const RosterMember& member) {
+        return live_member(state, current.zone, member.daemon, now) &&
+               !is_stopping(state, member.daemon);
+      });
+  if (has_successor) release_lease(state, current.zone);
 }
 
 void step_roster(core::State& state, const ZoneName& zone, Now now,
                  Effects& effects) {
   StoreKey key = roster_key(zone);
-  note_roster(state, zone, now, effects);
-  watch_losses(state, zone, now);
+  record_roster_changes(state, zone, now, effects);
+  track_lost_members(state, zone, now);
   if (write_pending(state, key)) return;
-  const ZoneRoster* in_force = roster(state.cache, zone);
-  ZoneRoster next = plan_roster(state, zone, now);
-  if (in_force != nullptr && next == *in_force) {
-    forget_met_statuses(state, *in_force);
-    go_home(state, *in_force, now);
+  const ZoneRoster* current = roster(state.cache, zone);
+  ZoneRoster planned = plan_roster(state, zone, now);
+  if (current != nullptr && planned == *current) {
+    drop_reached_statuses(state, *current);
+    release_other_zone(state, *current, now);
     return;
   }
-  next.write_id = new_write_id(state);
-  start_write(state, key, version_of(state.cache, key), std::move(next), now,
+  planned.write_id = new_write_id(state);
+  start_write(state, key, version_of(state.cache, key), std::move(planned), now,
               effects);
 }
 
@@ -277,28 +289,28 @@
 
 ZoneRoster plan_roster(const core::State& state, const ZoneName& zone,
                        Now now) {
-  ZoneRoster in_force{.zone = zone};
-  if (const ZoneRoster* known = roster(state.cache, zone)) in_force = *known;
-  ZoneRoster next = in_force;
-  next.coordinator_epoch = coordinator_epoch(state, zone);
-  plan_members(state, in_force, now, next);
-  plan_fence(state, in_force, next);
-  plan_losses(state, now, next);
-  plan_fronts(state, now, next);
-  plan_statuses(state, next);
-  return next;
+  ZoneRoster current{.zone = zone};
+  if (const ZoneRoster* stored = roster(state.cache, zone)) current = *stored;
+  ZoneRoster planned = current;
+  planned.coordinator_epoch = coordinator_epoch(state, zone);
+  plan_members(state, current, now, planned);
+  plan_fence(state, current, planned);
+  plan_lost_members(state, now, planned);
+  plan_fronts(state, now, planned);
+  plan_statuses(state, planned);
+  return planned;
 }
 
 void step_rosters(core::State& state, const Event& event, Now now,
                   Effects& effects) {
-  State& own = state.membership;
+  State& membership = state.membership;
   if (!std::holds_alternative<Tick>(event)) return;
-  bool changed =
-      own.roster_due || own.roster_generation != state.cache.generation;
-  if (!changed && now.mono < own.next_roster) return;
-  own.roster_due = false;
-  own.roster_generation = state.cache.generation;
-  own.next_roster = now.mono + config::kRosterCheckInterval;
+  bool changed = membership.roster_due ||
+                 membership.roster_generation != state.cache.generation;
+  if (!changed && now.mono < membership.next_roster_update) return;
+  membership.roster_due = false;
+  membership.roster_generation = state.cache.generation;
+  membership.next_roster_update = now.mono + config::kRosterCheckInterval;
   for (const ZoneName& zone : coordinated_zones(state, now))
     step_roster(state, zone, now, effects);
 }
--- a/src/core/membership/roster.h
+++ b/src/core/membership/roster.h
@@ -5,13 +5,13 @@
 #include "core/event.h"
 #include "core/state.h"
 
-/// A coordinator's upkeep of its zone's roster.
+/// Maintains the rosters of the zones that this daemon coordinates.
 namespace eelgrasspin::core::membership {
 
 void step_rosters(core::State& state, const Event& event, Now now,
                   Effects& effects);
 
-/// The roster that a zone should have by what its coordinator knows.
+/// The roster that the zone should have, given what its coordinator knows.
 ZoneRoster plan_roster(const core::State& state, const ZoneName& zone, Now now);
 
 }  // namespace eelgrasspin::core::membership
--- a/src/core/membership/roster_events.cc
+++ b/src/core/membership/roster_events.cc
@@ -6,11 +6,12 @@
 namespace eelgrasspin::core::membership {
 namespace {
 
-void note_members(core::State& state, const ZoneRoster& before,
-                  const ZoneRoster& after, Now now, Effects& effects) {
+void record_member_changes(core::State& state, const ZoneRoster& before,
+                           const ZoneRoster& after, Now now, Effects& effects) {
   for (const RosterMember& member : after.members) {
-    const RosterMember* known = find_member(before.members, member.daemon);
-    if (known != nullptr && known->incarnation == member.incarnation) continue;
+    const RosterMember* previous = find_member(before.members, member.daemon);
+    if (previous != nullptr && previous->incarnation == member.incarnation)
+      continue;
     record(state,
            {.zone = after.zone,
             .kind = TimelineKind::kMemberJoined,
@@ -27,13 +28,14 @@
   }
 }
 
-void note_fronts(core::State& state, const ZoneRoster& before,
-                 const ZoneRoster& after, Now now, Effects& effects) {
+void record_front_changes(core::State& state, const ZoneRoster& before,
+                          const ZoneRoster& after, Now now, Effects& effects) {
   for (const auto& [server, front] : after.fronts) {
-    auto known = before.fronts.find(server);
+    auto previous = before.fronts.find(server);
     bool same =
-        known != before.fronts.end() && known->second.epoch == front.epoch &&
-        known->second.awaiting_predecessor == front.awaiting_predecessor;
+        previous != before.fronts.end() &&
+        previous->second.epoch == front.epoch &&
+        previous->second.awaiting_predecessor == front.awaiting_predecessor;
     if (same || front.daemon.empty()) continue;
     record(state,
            {.zone = after.zone,
@@ -48,21 +50,22 @@
 
 }  // namespace
 
-void note_roster(core::State& state, const ZoneName& zone, Now now,
-                 Effects& effects) {
-  ZoneWatch& watch = state.membership.zones[zone];
+void record_roster_changes(core::State& state, const ZoneName& zone, Now now,
+                           Effects& effects) {
+  CoordinatedZone& coordinated = state.membership.zones[zone];
   Version version = version_of(state.cache, roster_key(zone));
-  const ZoneRoster* known = roster(state.cache, zone);
-  if (known == nullptr || version == watch.roster_version) return;
-  bool first = watch.roster_version.value == 0 &&
-               known->coordinator_epoch != coordinator_epoch(state, zone);
-  watch.roster_version = version;
-  ZoneRoster before = std::exchange(watch.noted, *known);
-  drop_void_reports(state, before, *known);
-  if (first) return;
-  note_members(state, before, *known, now, effects);
-  note_fronts(state, before, *known, now, effects);
-  if (known->fenced && !before.fenced)
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
+  if (zone_roster == nullptr || version == coordinated.roster_version) return;
+  bool from_earlier_term =
+      coordinated.roster_version.value == 0 &&
+      zone_roster->coordinator_epoch != coordinator_epoch(state, zone);
+  coordinated.roster_version = version;
+  ZoneRoster before = std::exchange(coordinated.recorded_roster, *zone_roster);
+  drop_obsolete_reports(state, before, *zone_roster);
+  if (from_earlier_term) return;
+  record_member_changes(state, before, *zone_roster, now, effects);
+  record_front_changes(state, before, *zone_roster, now, effects);
+  if (zone_roster->fenced && !before.fenced)
     record(state, {.zone = zone, .kind = TimelineKind::kFenced}, now, effects);
 }
 
--- a/src/core/membership/roster_events.h
+++ b/src/core/membership/roster_events.h
@@ -6,10 +6,10 @@
 
 namespace eelgrasspin::core::membership {
 
-/// Puts the changes of a coordinated zone's roster on the time line once they
-/// are in the store, and drops reports that they made void.
-void note_roster(core::State& state, const ZoneName& zone, Now now,
-                 Effects& effects);
+/// Records the changes of a coordinated zone's roster on the timeline once they
+/// are stored, and drops reports that they make obsolete.
+void record_roster_changes(core::State& state, const ZoneName& zone, Now now,
+                           Effects& effects);
 
 }  // namespace eelgrasspin::core::membership
 
--- a/src/core/membership/state.h
+++ b/src/core/membership/state.h
@@ -20,101 +20,107 @@
 /// assignment.
 namespace eelgrasspin::core::membership {
 
-/// What decides whether a lease entry is worth relaying: all but its sequence.
-struct LeaseTerm {
+/// The part of a lease entry that is relayed when it changes. Renewals change
+/// only the sequence number and are not relayed.
+struct RelayedLease {
   TermEpoch epoch;
   bool released = false;
 
-  bool operator==(const LeaseTerm&) const = default;
+  bool operator==(const RelayedLease&) const = default;
 };
 
-/// How the cache follows the store. An op id of 0 means that none is under way.
+/// How the cache is kept in sync with the store. An op id of 0 means that no
+/// call is pending.
 struct StoreSync {
   StoreOpId list_op;
   TimePoint list_sent;
   TimePoint next_list;
-  bool listed = false;  ///< Since this daemon's start.
+  bool listed = false;  ///< A full list has been read since the start.
   StoreOpId watch_op;
   TimePoint watch_sent;
   TimePoint next_watch;
-  std::optional<TimePoint> heard;  ///< Last answer of the store.
-  bool down = false;               ///< As last recorded.
+  std::optional<TimePoint> last_answer;  ///< Of the store.
+  bool recorded_down = false;            ///< As last recorded on the timeline.
   TimePoint next_cache_request;
-  Version last_change;  ///< Of the entries relayed, the newest version.
-  std::map<ZoneName, LeaseTerm> relayed_leases;
-  Version declarations;        ///< Version adopted last.
-  std::set<StoreKey> damaged;  ///< Cached with an earlier value.
+  Version newest_relayed;  ///< Highest version among the entries relayed.
+  std::map<ZoneName, RelayedLease> relayed_leases;
+  Version adopted_declarations;  ///< Version adopted last.
+  /// Keys whose stored value cannot be read; the cache keeps the last readable
+  /// one.
+  std::set<StoreKey> damaged;
 };
 
-/// One zone's coordinator lease as this daemon sees it.
-struct ZoneLease {
-  Version seen;                         ///< Version of the lease entry ...
-  std::optional<TimePoint> first_seen;  ///< ... and when it was first seen.
+/// One zone's coordinator lease as observed by this daemon.
+struct ObservedLease {
+  Version seen_version;                 ///< Latest version of the lease entry.
+  std::optional<TimePoint> first_seen;  ///< When that version was first seen.
   StoreOpId read_op;
   TimePoint read_sent;
   TimePoint next_read;
   std::optional<TimePoint> last_read;  ///< Last answered read.
-  /// Sending time of the last message to the store, or to the zone's
-  /// coordinator, whose answer showed this daemon's place in the roster.
-  std::optional<TimePoint> evidence;
-  TimePoint heard;      ///< Last message of the zone's coordinator.
-  bool held = false;    ///< The store names this daemon's run.
-  bool active = false;  ///< As last recorded on the time line.
+  /// Sending time of the last message to the store or to the zone's coordinator
+  /// whose answer confirmed this daemon's membership.
+  std::optional<TimePoint> last_confirmed;
+  TimePoint last_coordinator_message;  ///< From the zone's coordinator.
+  bool held = false;    ///< The stored lease names this process as holder.
+  bool active = false;  ///< As last recorded on the timeline.
   bool releasing = false;
   TermEpoch epoch;
   TimePoint valid_until;
-  TimePoint since;  ///< Coordinator without interruption from here.
+  TimePoint coordinator_since;  ///< Start of the current coordinator role.
   TimePoint next_renewal;
-  DaemonName earlier_holder;  ///< Whose lapsed lease was taken over.
+  DaemonName previous_holder;  ///< Whose expired lease was taken over.
 };
 
-/// Another daemon, as heard by this one.
+/// Another daemon, as known from its messages to this one.
 struct Peer {
   Incarnation incarnation;
-  Incarnation earlier_incarnation;
-  TimePoint heard;
+  Incarnation previous_incarnation;
+  TimePoint last_received;  ///< Last message.
   std::uint64_t round = 0;  ///< Newest round of its hellos.
-  std::optional<TimePoint>
-      echo_sent;  ///< When this daemon sent the newest round that it echoed.
-  std::optional<Heartbeat> heartbeat;  ///< Without fronts and accounts.
-  TimePoint heartbeat_heard;
-  TimePoint relayed_at;  ///< Last time that missing entries were sent to it.
+  /// When this daemon sent the newest round that the peer has echoed.
+  std::optional<TimePoint> echoed_round_sent;
+  /// Last one, without fronts and accounts.
+  std::optional<Heartbeat> heartbeat;
+  TimePoint heartbeat_received;
+  TimePoint last_relayed;  ///< When missing entries were last sent to it.
 };
 
-/// A lost daemon's way to the proof that it renews no grants any more.
-struct LossWatch {
+/// What is needed to prove that a lost daemon no longer renews grants.
+struct LostMember {
   Incarnation incarnation;
-  Version version;  ///< Of the roster that lists it as lost.
-  TimePoint noted;
-  std::map<DaemonName, TimePoint> promised;  ///< When each other member first
-                                             ///< promised not to answer it.
+  Version listed_version;  ///< Of the roster that lists it as lost.
+  TimePoint lost_since;
+  /// When each other member first promised not to answer it.
+  std::map<DaemonName, TimePoint> promises;
 };
 
-/// What a coordinator keeps of one zone beyond its roster.
-struct ZoneWatch {
+/// What a coordinator keeps for one zone besides its roster.
+struct CoordinatedZone {
   Version roster_version;
-  ZoneRoster noted;  ///< Roster at that version, for the time line.
-  std::map<DaemonName, LossWatch> losses;
+  ZoneRoster recorded_roster;  ///< Roster at that version, as on the timeline.
+  std::map<DaemonName, LostMember> lost_members;
 };
 
-/// One run of a daemon.
-struct DaemonRun {
+/// One process of a daemon.
+struct DaemonInstance {
   DaemonName daemon;
   Incarnation incarnation;
 
-  auto operator<=>(const DaemonRun&) const = default;
+  auto operator<=>(const DaemonInstance&) const = default;
 };
 
-/// A fence command under way.
+/// An active fence command.
 struct Fence {
   FenceCommand command;
-  TimePoint noted;
-  std::set<DaemonRun> runs;  ///< Vouched to be dead, and not heard since.
+  TimePoint known_since;
+  /// Declared dead and without messages since then.
+  std::set<DaemonInstance> instances;
 };
 
 struct ListedVm {
   VmState state = VmState::kLive;
-  TimePoint since;  ///< First listing with this state.
+  TimePoint since;  ///< First time that it was listed with this state.
 };
 
 struct SentRound {
@@ -125,25 +131,28 @@
 struct State {
   Version revision;  ///< The cache is complete up to this store revision.
   StoreSync sync;
-  std::map<ZoneName, ZoneLease> leases;
-  std::map<ZoneName, ZoneWatch> zones;  ///< Of the zones coordinated.
+  std::map<ZoneName, ObservedLease> leases;
+  std::map<ZoneName, CoordinatedZone> zones;  ///< Coordinated by this daemon.
   std::map<DaemonName, Peer> peers;
   std::uint64_t round = 0;
-  std::deque<SentRound> rounds;  ///< Oldest first.
+  std::deque<SentRound> sent_rounds;  ///< Oldest first.
   TimePoint next_heartbeat;
   TimePoint next_accounts;
-  TimePoint resumed;  ///< Start of this run, or end of the last pause.
+  /// Start of this process, or end of its last pause.
+  TimePoint running_since;
   std::map<ServerName, FrontReport> front_reports;
   std::map<ServerName, std::set<FrontEpoch>> stopped_fronts;
   std::map<DaemonName, ReceivedAccounts> accounts;
   std::map<ServerName, ServerStatus> wanted_statuses;
-  bool roster_due = false;  ///< Something a roster depends on has changed.
-  TimePoint next_roster;
-  std::uint64_t roster_generation = 0;  ///< Of the cache at the last look.
+  bool roster_due = false;  ///< Something that a roster depends on has changed.
+  TimePoint next_roster_update;
+  /// Cache generation at the last roster update.
+  std::uint64_t roster_generation = 0;
   std::map<CommandId, Fence> fences;
-  std::uint64_t fences_generation = 0;  ///< Of the cache when last looked up.
+  /// Cache generation when the fence commands were last read.
+  std::uint64_t fences_generation = 0;
   TimePoint next_vm_list;
-  bool vm_list_under_way = false;
+  bool vm_list_pending = false;
   TimePoint vm_list_sent;
   std::map<std::string, ListedVm> vms;
 };
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -12,22 +12,23 @@
 
 constexpr StoreOpId kNoOp{0};
 
-void note_store_failure(core::State& state, const StoreUnavailable& failure,
-                        Now now, Effects& effects) {
+void record_store_failure(core::State& state, const StoreUnavailable& failure,
+                          Now now, Effects& effects) {
   StoreSync& sync = state.membership.sync;
-  bool lately = sync.heard && now.mono - *sync.heard < config::kStoreTimeout;
-  if (sync.down || lately) return;
-  sync.down = true;
-  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.reason},
-         now, effects);
+  bool answered_recently =
+      sync.last_answer && now.mono - *sync.last_answer < config::kStoreTimeout;
+  if (sync.recorded_down || answered_recently) return;
+  sync.recorded_down = true;
+  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.why}, now,
+         effects);
 }
 
-void note_answer(core::State& state, const StoreAnswered& answer, Now now,
-                 Effects& effects) {
+void update_store_status(core::State& state, const StoreAnswered& answer,
+                         Now now, Effects& effects) {
   if (const auto* failure = std::get_if<StoreUnavailable>(&answer.result))
-    note_store_failure(state, *failure, now, effects);
+    record_store_failure(state, *failure, now, effects);
   else
-    note_store_up(state, now, effects);
+    mark_store_up(state, now, effects);
 }
 
 void start_list(core::State& state, Now now, Effects& effects) {
@@ -48,19 +49,19 @@
                                config::kStoreWatchTimeout});
 }
 
-/// A key that a full list does not show has been deleted.
-void apply_absences(core::State& state, const StoreRead& read, Now now,
-                    Effects& effects) {
-  std::set<StoreKey> present;
-  for (const StoreEntry& entry : read.entries) present.insert(entry.key);
-  std::vector<StoreEntry> absences;
+/// A cached key that is missing from a full list has been deleted.
+void apply_deletions(core::State& state, const StoreRead& read, Now now,
+                     Effects& effects) {
+  std::set<StoreKey> listed_keys;
+  for (const StoreEntry& entry : read.entries) listed_keys.insert(entry.key);
+  std::vector<StoreEntry> deletions;
   for_each_prefixed(state.cache, live_prefix(), [&](const StoreEntry& entry) {
-    bool known = !std::holds_alternative<std::monostate>(entry.record);
-    if (!known || entry.version >= read.revision) return;
-    if (present.contains(entry.key)) return;
-    absences.push_back({entry.key, read.revision, std::monostate{}});
+    bool exists = !std::holds_alternative<std::monostate>(entry.record);
+    if (!exists || entry.version >= read.revision) return;
+    if (listed_keys.contains(entry.key)) return;
+    deletions.push_back({entry.key, read.revision, std::monostate{}});
   });
-  for (const StoreEntry& entry : absences)
+  for (const StoreEntry& entry : deletions)
     apply_entry(state, entry, now, effects);
 }
 
@@ -83,34 +84,34 @@
     return;
   }
   apply_read(state, *read, now, effects);
-  apply_absences(state, *read, now, effects);
+  apply_deletions(state, *read, now, effects);
   sync.listed = true;
   sync.next_list = now.mono + config::kUnrelayedListInterval;
-  note_zone_read(state, state.self.zone, sync.list_sent, now);
+  on_zone_read(state, state.self.zone, sync.list_sent, now);
 }
 
-/// Whether a changed entry is news to a zone's members. Renewals of leases are
+/// Whether a changed entry is relayed to a zone's members. Lease renewals are
 /// not.
-bool worth_relaying(core::State& state, const StoreEntry& entry) {
+bool needs_relay(core::State& state, const StoreEntry& entry) {
   if (std::holds_alternative<DamagedRecord>(entry.record)) return false;
   const auto* lease = std::get_if<CoordinatorLease>(&entry.record);
   if (lease == nullptr) return true;
-  LeaseTerm term{lease->epoch, lease->released};
+  RelayedLease current{lease->epoch, lease->released};
   auto [it, inserted] =
-      state.membership.sync.relayed_leases.emplace(lease->zone, term);
-  bool changed = inserted || it->second != term;
-  it->second = term;
+      state.membership.sync.relayed_leases.emplace(lease->zone, current);
+  bool changed = inserted || it->second != current;
+  it->second = current;
   return changed;
 }
 
 void send_to_members(core::State& state, StoreRelay relay, Now now,
                      Effects& effects) {
   for (const ZoneName& zone : coordinated_zones(state, now)) {
-    const ZoneRoster* members = roster(state.cache, zone);
-    if (members == nullptr) continue;
+    const ZoneRoster* zone_roster = roster(state.cache, zone);
+    if (zone_roster == nullptr) continue;
     relay.zone = zone;
     relay.coordinator_epoch = coordinator_epoch(state, zone);
-    for (const RosterMember& member : members->members) {
+    for (const RosterMember& member : zone_roster->members) {
       if (member.daemon != state.self.name)
         send_peer(state, member.address, relay, effects);
     }
@@ -120,11 +121,11 @@
 void relay_changes(core::State& state, const StoreRead& read, Now now,
                    Effects& effects) {
   StoreSync& sync = state.membership.sync;
-  StoreRelay relay{.since = sync.last_change, .revision = read.revision};
+  StoreRelay relay{.since = sync.newest_relayed, .revision = read.revision};
   for (const StoreEntry& entry : read.entries) {
-    if (!worth_relaying(state, entry)) continue;
+    if (!needs_relay(state, entry)) continue;
     relay.entries.push_back(entry);
-    sync.last_change = std::max(sync.last_change, entry.version);
+    sync.newest_relayed = std::max(sync.newest_relayed, entry.version);
   }
   if (relay.entries.empty()) return;
   send_to_members(state, std::move(relay), now, effects);
@@ -146,9 +147,9 @@
       std::max(sync.watch_sent + config::kMinWatchInterval, now.mono);
 }
 
-/// A value that this daemon wrote is fetched by the watch at once, to be
-/// relayed without delay.
-void hasten_watch(core::State& state, Now now) {
+/// After an own write the next watch starts at once, so that the written value
+/// is relayed without delay.
+void expedite_watch(core::State& state, Now now) {
   for (const SettledWrite& write : state.writer.settled) {
     bool live = write.key.str().starts_with(live_prefix().str());
     bool lease = find<CoordinatorLease>(state.cache, write.key) != nullptr;
@@ -168,17 +169,19 @@
 void on_cache_request(core::State& state, const CacheRequest& request,
                       Effects& effects) {
   if (request.daemon == state.self.name) return;
-  send_missing(state, request.address, Version(0), effects);
+  send_missing_entries(state, request.address, Version(0), effects);
 }
 
-/// Asks other daemons for what they know while the store does not answer.
+/// Asks other daemons for their cached entries while the store does not answer
+/// and this daemon has not listed it yet.
 void request_caches(core::State& state, Now now, Effects& effects) {
   StoreSync& sync = state.membership.sync;
-  if (sync.listed || !sync.down || now.mono < sync.next_cache_request) return;
+  if (sync.listed || !sync.recorded_down || now.mono < sync.next_cache_request)
+    return;
   sync.next_cache_request = now.mono + config::kHeartbeatInterval;
   std::set<Endpoint> targets(state.self.seeds.begin(), state.self.seeds.end());
-  if (const ZoneRoster* own = roster(state.cache, state.self.zone)) {
-    for (const RosterMember& member : own->members)
+  if (const ZoneRoster* own_roster = roster(state.cache, state.self.zone)) {
+    for (const RosterMember& member : own_roster->members)
       targets.insert(member.address);
   }
   targets.erase(state.self.address);
@@ -193,7 +196,7 @@
   if (sync.list_op != kNoOp || now.mono < sync.next_list) return false;
   if (!sync.listed) return true;
   return coordinated_zones(state, now).empty() &&
-         coordinator_is_silent(state, state.self.zone, now);
+         coordinator_timed_out(state, state.self.zone, now);
 }
 
 void watch_if_due(core::State& state, Now now, Effects& effects) {
@@ -203,8 +206,8 @@
   if (!coordinated_zones(state, now).empty()) start_watch(state, now, effects);
 }
 
-/// Gives up on calls whose answer is overdue.
-void forget_overdue(core::State& state, Now now) {
+/// Abandons store calls whose answer is overdue.
+void abandon_overdue_calls(core::State& state, Now now) {
   StoreSync& sync = state.membership.sync;
   Duration list_age = now.mono - sync.list_sent;
   if (list_age > 2 * config::kStoreTimeout) sync.list_op = kNoOp;
@@ -213,9 +216,9 @@
     sync.watch_op = kNoOp;
 }
 
-void note_declarations(core::State& state, Now now, Effects& effects) {
+void record_declarations(core::State& state, Now now, Effects& effects) {
   Version version = version_of(state.cache, declarations_key());
-  Version& adopted = state.membership.sync.declarations;
+  Version& adopted = state.membership.sync.adopted_declarations;
   if (version == adopted || declarations(state.cache) == nullptr) return;
   adopted = version;
   record(state, {.kind = TimelineKind::kDeclarationsAdopted}, now, effects);
@@ -232,7 +235,7 @@
 
 void on_store_answer(core::State& state, const StoreAnswered& answer, Now now,
                      Effects& effects) {
-  note_answer(state, answer, now, effects);
+  update_store_status(state, answer, now, effects);
   if (answer.op == state.membership.sync.list_op)
     on_list(state, answer, now, effects);
   else if (answer.op == state.membership.sync.watch_op)
@@ -241,11 +244,11 @@
 
 }  // namespace
 
-void note_store_up(core::State& state, Now now, Effects& effects) {
+void mark_store_up(core::State& state, Now now, Effects& effects) {
   StoreSync& sync = state.membership.sync;
-  sync.heard = now.mono;
-  if (!sync.down) return;
-  sync.down = false;
+  sync.last_answer = now.mono;
+  if (!sync.recorded_down) return;
+  sync.recorded_down = false;
   record(state, {.kind = TimelineKind::kStoreUp}, now, effects);
 }
 
@@ -261,14 +264,14 @@
   ++state.counters[Counter::kDamagedRecords];
   record(state,
          {.kind = TimelineKind::kDamagedRecord,
-          .cause = std::get<DamagedRecord>(entry.record).reason,
+          .cause = std::get<DamagedRecord>(entry.record).why,
           .detail = entry.key.str()},
          now, effects);
   return applied;
 }
 
-void send_missing(core::State& state, const Endpoint& to, Version since,
-                  Effects& effects) {
+void send_missing_entries(core::State& state, const Endpoint& to, Version since,
+                          Effects& effects) {
   std::vector<StoreEntry> missing;
   for (const auto& [key, entry] : state.cache.entries) {
     bool damaged = state.membership.sync.damaged.contains(key);
@@ -282,8 +285,8 @@
   for (StoreEntry& entry : missing) {
     relay.entries.push_back(std::move(entry));
     if (relay.entries.size() < config::kMaxRelayEntries) continue;
-    Version last = relay.entries.back().version;
-    relay.revision = std::min(last, state.membership.revision);
+    Version last_version = relay.entries.back().version;
+    relay.revision = std::min(last_version, state.membership.revision);
     Version next_since = relay.revision;
     send_peer(state, to, std::exchange(relay, {}), effects);
     relay.zone = state.self.zone;
@@ -296,30 +299,30 @@
 
 void announce_coordinator(core::State& state, const ZoneName& zone,
                           Effects& effects) {
-  const ZoneRoster* members = roster(state.cache, zone);
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
   auto lease = state.cache.entries.find(coordinator_lease_key(zone));
-  if (members == nullptr || lease == state.cache.entries.end()) return;
+  if (zone_roster == nullptr || lease == state.cache.entries.end()) return;
   StoreRelay relay{.zone = zone,
                    .coordinator_epoch = coordinator_epoch(state, zone),
                    .entries = {lease->second}};
-  for (const RosterMember& member : members->members) {
+  for (const RosterMember& member : zone_roster->members) {
     if (member.daemon != state.self.name)
       send_peer(state, member.address, relay, effects);
   }
 }
 
-void step_sync(core::State& state, const Event& event, Now now,
-               Effects& effects) {
-  hasten_watch(state, now);
+void step_store_sync(core::State& state, const Event& event, Now now,
+                     Effects& effects) {
+  expedite_watch(state, now);
   if (const auto* answer = std::get_if<StoreAnswered>(&event))
     on_store_answer(state, *answer, now, effects);
   if (const auto* received = std::get_if<PeerReceived>(&event))
     on_peer_message(state, received->message, now, effects);
-  note_declarations(state, now, effects);
-  bool timed = std::holds_alternative<Tick>(event) ||
-               std::holds_alternative<Started>(event);
-  if (!timed) return;
-  forget_overdue(state, now);
+  record_declarations(state, now, effects);
+  bool timer_event = std::holds_alternative<Tick>(event) ||
+                     std::holds_alternative<Started>(event);
+  if (!timer_event) return;
+  abandon_overdue_calls(state, now);
   if (list_is_due(state, now)) start_list(state, now, effects);
   request_caches(state, now, effects);
   watch_if_due(state, now, effects);
--- a/src/core/membership/store_sync.h
+++ b/src/core/membership/store_sync.h
@@ -5,25 +5,27 @@
 #include "core/event.h"
 #include "core/state.h"
 
-/// Keeps the cache in step with the store: one list at the start, one watch of
-/// each coordinator, relays to everyone else.
+/// Keeps the cache in sync with the store: every daemon lists the store once at
+/// the start, coordinators watch it and relay changes to the other daemons.
 namespace eelgrasspin::core::membership {
 
-void step_sync(core::State& state, const Event& event, Now now,
-               Effects& effects);
+void step_store_sync(core::State& state, const Event& event, Now now,
+                     Effects& effects);
 
-/// Notes that the store answers, to this daemon or to its coordinator.
-void note_store_up(core::State& state, Now now, Effects& effects);
+/// Records that the store has answered this daemon or its coordinator.
+void mark_store_up(core::State& state, Now now, Effects& effects);
 
-/// Takes one store value over; notes damaged ones on the time line.
+/// Applies one store entry to the cache; a damaged one is recorded on the
+/// timeline.
 ApplyResult apply_entry(core::State& state, const StoreEntry& entry, Now now,
                         Effects& effects);
 
 /// Sends every cached entry newer than `since`, in order of version.
-void send_missing(core::State& state, const Endpoint& to, Version since,
-                  Effects& effects);
+void send_missing_entries(core::State& state, const Endpoint& to, Version since,
+                          Effects& effects);
 
-/// Tells the members of a zone that its coordinator is new, or has gone.
+/// Notifies a zone's members that its coordinator has changed or released its
+/// lease.
 void announce_coordinator(core::State& state, const ZoneName& zone,
                           Effects& effects);
 
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -259,7 +259,7 @@
                    .holds_grant = holds_grant(state, front, now)};
   if (news == front.news) return;
   front.news = news;
-  membership::report_soon(state, now);
+  membership::expedite_heartbeat(state, now);
 }
 
 /// Time for which the end of a front role is still reported.
@@ -294,7 +294,7 @@
       now.mono - state.ownership.last_step > config::kIsolatedFrontTimeout;
   bool lone = !membership::may_renew_grants(state, now);
   state.ownership.last_step = now.mono;
-  if (membership::reaches_store(state, now))
+  if (membership::is_store_reachable(state, now))
     state.ownership.store_heard = now.mono;
   if (!paused && !lone) return;
   for (auto& [server, front] : state.ownership.fronts) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -205,7 +205,7 @@
   const core::State& late = cluster_.at("c").state;
   EXPECT_NE(declarations(late.cache), nullptr);
   EXPECT_NE(roster(late.cache, kZone), nullptr);
-  EXPECT_FALSE(reaches_store(late, cluster_.now_at(cluster_.at("c"))));
+  EXPECT_FALSE(is_store_reachable(late, cluster_.now_at(cluster_.at("c"))));
   EXPECT_THAT(cluster_.coordinators_of("gongoni"), SizeIs(0));
   cluster_.store_up = true;
   cluster_.run(seconds(8));
