--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -35,55 +35,59 @@
   return ClosurePhase::kNone;
 }
 
-/// Gives the slots of a cancelled closure an owner again.
+/// Marks the closed units of a cancelled closure as unassigned, so that they
+/// get an owner again.
 void reopen_closed(MapEdit& edit) {
   if (edit.index.closed_units == 0) return;
-  for (auto& [slot, record] : editable(edit).slots) {
+  for (auto& [slot, record] : mutable_map(edit).slots) {
     if (record.phase != SlotPhase::kClosed) continue;
     record = {.epoch = record.epoch.next(), .phase = SlotPhase::kUnassigned};
   }
-  std::erase_if(editable(edit).overrides, [](const auto& entry) {
+  std::erase_if(mutable_map(edit).overrides, [](const auto& entry) {
     return entry.second.phase == SlotPhase::kClosed;
   });
 }
 
-/// Gives slots without a record to the usable servers, in runs.
-void adopt_missing(MapEdit& edit) {
-  const ZoneMap* zones = zone_map(edit.state.cache, edit.part.service);
-  const std::vector<SlotId>& missing = edit.index.missing;
-  if (zones == nullptr || missing.empty()) return;
+/// Assigns slots without a record to the usable servers, in contiguous ranges.
+void assign_missing_slots(MapEdit& edit) {
+  const ZoneMap* zones = zone_map(edit.state.cache, edit.service_zone.service);
+  const std::vector<SlotId>& missing_slots = edit.index.missing_slots;
+  if (zones == nullptr || missing_slots.empty()) return;
   std::vector<double> capacities;
-  for (const PlacementCandidate& share : edit.shares)
-    capacities.push_back(share.capacity);
-  std::vector<std::size_t> counts = split_evenly(missing.size(), capacities);
-  OwnershipMap& map = editable(edit);
-  std::size_t share = 0;
-  std::size_t given = 0;
-  for (SlotId slot : missing) {
-    while (share < counts.size() && given == counts[share]) {
-      ++share;
-      given = 0;
+  for (const PlacementCandidate& candidate : edit.candidates)
+    capacities.push_back(candidate.capacity);
+  std::vector<std::size_t> counts =
+      split_by_capacity(missing_slots.size(), capacities);
+  OwnershipMap& map = mutable_map(edit);
+  std::size_t candidate_index = 0;
+  std::size_t assigned = 0;
+  for (SlotId slot : missing_slots) {
+    while (candidate_index < counts.size() &&
+           assigned == counts[candidate_index]) {
+      ++candidate_index;
+      assigned = 0;
     }
     SlotRecord record{.epoch = first_epoch(zones->epochs[slot.value])};
-    if (share < counts.size()) {
-      record.owner = edit.shares[share].server;
+    if (candidate_index < counts.size()) {
+      record.owner = edit.candidates[candidate_index].server;
       record.phase = SlotPhase::kOwned;
-      ++given;
+      ++assigned;
     }
     map.slots[slot] = record;
   }
 }
 
-void drop_foreign(MapEdit& edit) {
-  if (edit.index.foreign.empty()) return;
-  OwnershipMap& map = editable(edit);
-  for (SlotId slot : edit.index.foreign) {
-    announce(edit, TimelineKind::kZoneHandover, map.slots[slot].owner,
-             ServerName(), "given to another zone", {slot, Key()});
+void drop_other_zone_slots(MapEdit& edit) {
+  if (edit.index.other_zone_slots.empty()) return;
+  OwnershipMap& map = mutable_map(edit);
+  for (SlotId slot : edit.index.other_zone_slots) {
+    queue_event(edit, TimelineKind::kZoneHandover, map.slots[slot].owner,
+                ServerName(), "given to another zone", {slot, Key()});
     map.slots.erase(slot);
   }
   std::erase_if(map.overrides, [&](const auto& entry) {
-    SlotId slot = slot_of_key(edit.state.cache, edit.part.service, entry.first);
+    SlotId slot =
+        slot_of_key(edit.state.cache, edit.service_zone.service, entry.first);
     return !map.slots.contains(slot);
   });
 }
@@ -95,36 +99,36 @@
 
 ServerName pick_target(MapEdit& edit, const ServerName& avoid) {
   std::vector<PlacementCandidate> others;
-  for (const PlacementCandidate& share : edit.shares) {
-    if (share.server != avoid) others.push_back(share);
+  for (const PlacementCandidate& candidate : edit.candidates) {
+    if (candidate.server != avoid) others.push_back(candidate);
   }
   ServerName target = place_on_least_loaded(others, 1);
-  for (PlacementCandidate& share : edit.shares) {
-    if (share.server == target) ++share.load;
+  for (PlacementCandidate& candidate : edit.candidates) {
+    if (candidate.server == target) ++candidate.load;
   }
   return target;
 }
 
 void merge_override(MapEdit& edit, const Unit& unit) {
-  OwnershipMap& map = editable(edit);
+  OwnershipMap& map = mutable_map(edit);
   SlotRecord& slot = map.slots[unit.slot];
   slot.epoch = std::max(slot.epoch, unit_record(map, unit)->epoch).next();
-  announce(edit, TimelineKind::kMoveFinished, unit_record(map, unit)->owner,
-           slot.owner, "key merged into its slot", unit);
+  queue_event(edit, TimelineKind::kMoveFinished, unit_record(map, unit)->owner,
+              slot.owner, "key merged into its slot", unit);
   map.overrides.erase(unit.key);
   ++edit.moves_finished;
 }
 
 bool owns_slot(const MapEdit& edit, SlotId slot, const ServerName& server) {
-  const SlotRecord* record = unit_record(latest(edit), {slot, Key()});
+  const SlotRecord* record = unit_record(latest_map(edit), {slot, Key()});
   return record != nullptr && record->phase == SlotPhase::kOwned &&
          record->owner == server;
 }
 
 void close_unit(MapEdit& edit, const Unit& unit) {
-  SlotRecord& record = *unit_record(editable(edit), unit);
-  announce(edit, TimelineKind::kClosureStep, record.owner, ServerName(),
-           "closed", unit);
+  SlotRecord& record = *unit_record(mutable_map(edit), unit);
+  queue_event(edit, TimelineKind::kClosureStep, record.owner, ServerName(),
+              "closed", unit);
   record = {.epoch = record.epoch, .phase = SlotPhase::kClosed};
 }
 
@@ -142,25 +146,25 @@
     if (target.empty() && is_usable(edit, record.owner)) target = record.owner;
   }
   if (revoked && target.empty()) {
-    SlotRecord& free = *unit_record(editable(edit), unit);
-    free = {.epoch = free.epoch, .phase = SlotPhase::kUnassigned};
+    SlotRecord& unassigned = *unit_record(mutable_map(edit), unit);
+    unassigned = {.epoch = unassigned.epoch, .phase = SlotPhase::kUnassigned};
   } else if (revoked && !unit.key.empty() &&
              owns_slot(edit, unit.slot, target)) {
     merge_override(edit, unit);
   } else if (revoked) {
-    settle_on(edit, unit, target);
+    assign_owner(edit, unit, target);
   } else if (target != record.target && target == record.owner) {
-    SlotRecord& kept = *unit_record(editable(edit), unit);
-    kept.epoch = kept.epoch.next();
-    settle_on(edit, unit, target);
+    SlotRecord& kept_record = *unit_record(mutable_map(edit), unit);
+    kept_record.epoch = kept_record.epoch.next();
+    assign_owner(edit, unit, target);
   } else if (target != record.target) {
-    unit_record(editable(edit), unit)->target = target;
+    unit_record(mutable_map(edit), unit)->target = target;
   }
 }
 
 bool has_overrides(const MapEdit& edit, SlotId slot) {
-  for (const auto& [key, record] : latest(edit).overrides) {
-    if (slot_of_key(edit.state.cache, edit.part.service, key) == slot)
+  for (const auto& [key, record] : latest_map(edit).overrides) {
+    if (slot_of_key(edit.state.cache, edit.service_zone.service, key) == slot)
       return true;
   }
   return false;
@@ -170,32 +174,32 @@
                      const UnsettledUnit& unsettled) {
   if (!is_revoked(edit, unit, unsettled)) return;
   if (!unit.key.empty()) {
-    editable(edit).overrides.erase(unit.key);
+    mutable_map(edit).overrides.erase(unit.key);
     return;
   }
   if (has_overrides(edit, unit.slot)) return;
-  SlotRecord& record = *unit_record(editable(edit), unit);
-  announce(edit, TimelineKind::kZoneHandover, record.owner, ServerName(),
-           "to " + record.target_zone.str(), unit);
+  SlotRecord& record = *unit_record(mutable_map(edit), unit);
+  queue_event(edit, TimelineKind::kZoneHandover, record.owner, ServerName(),
+              "to " + record.target_zone.str(), unit);
   record = {.epoch = record.epoch,
             .phase = SlotPhase::kHandedOver,
             .target_zone = record.target_zone};
 }
 
-/// A slot that went to another zone and was given back before its record was
-/// dropped.
-bool came_back(const MapEdit& edit, const Unit& unit,
-               const SlotRecord& record) {
-  const ZoneMap* zones = zone_map(edit.state.cache, edit.part.service);
+/// Whether a slot was handed over to another zone and returned before its
+/// record was dropped.
+bool was_returned(const MapEdit& edit, const Unit& unit,
+                  const SlotRecord& record) {
+  const ZoneMap* zones = zone_map(edit.state.cache, edit.service_zone.service);
   return zones != nullptr && unit.slot.value < zones->epochs.size() &&
          first_epoch(zones->epochs[unit.slot.value]) > record.epoch;
 }
 
-void assign(MapEdit& edit, const Unit& unit, Epoch epoch) {
+void assign_unowned(MapEdit& edit, const Unit& unit, Epoch epoch) {
   ServerName target = pick_target(edit, ServerName());
   if (target.empty()) return;
-  unit_record(editable(edit), unit)->epoch = epoch;
-  settle_on(edit, unit, target);
+  unit_record(mutable_map(edit), unit)->epoch = epoch;
+  assign_owner(edit, unit, target);
 }
 
 void advance_unsettled(MapEdit& edit, bool closing) {
@@ -211,13 +215,15 @@
         if (closing) {
           close_unit(edit, unit);
         } else {
-          assign(edit, unit, unsettled.record.epoch.next());
+          assign_unowned(edit, unit, unsettled.record.epoch.next());
         }
         break;
       case SlotPhase::kHandedOver:
-        if (came_back(edit, unit, unsettled.record)) {
-          const ZoneMap* zones = zone_map(edit.state.cache, edit.part.service);
-          assign(edit, unit, first_epoch(zones->epochs[unit.slot.value]));
+        if (was_returned(edit, unit, unsettled.record)) {
+          const ZoneMap* zones =
+              zone_map(edit.state.cache, edit.service_zone.service);
+          assign_unowned(edit, unit,
+                         first_epoch(zones->epochs[unit.slot.value]));
         }
         break;
       case SlotPhase::kOwned:
@@ -227,14 +233,14 @@
   }
 }
 
-/// Moves everything away from servers that are lost, leaving or not declared
-/// any more.
+/// Moves all units away from servers that are lost, leaving or no longer
+/// declared.
 void evacuate(MapEdit& edit) {
-  if (edit.shares.empty()) return;
+  if (edit.candidates.empty()) return;
   for (const auto& [server, owned] : edit.index.owned) {
     auto it = edit.servers.find(server);
     bool lost = it != edit.servers.end() &&
-                (is_grant_expired(it->second) || is_gone(it->second));
+                (is_unresponsive(it->second) || is_gone(it->second));
     bool leaving = it == edit.servers.end() || is_leaving(it->second);
     if (!lost && !leaving) continue;
     std::string cause = lost ? "server lost" : "server leaving";
@@ -255,45 +261,50 @@
   }
 }
 
-void create_map(core::State& state, const Part& part, Now now,
+void create_map(core::State& state, const ServiceZone& service_zone, Now now,
                 Effects& effects) {
-  StoreKey key = ownership_map_key(part.service, part.zone);
+  StoreKey key = ownership_map_key(service_zone.service, service_zone.zone);
   if (version_of(state.cache, key) != Version(0) || write_pending(state, key))
     return;
-  const ZoneMap* zones = zone_map(state.cache, part.service);
+  const ZoneMap* zones = zone_map(state.cache, service_zone.service);
   if (zones == nullptr) return;
-  OwnershipMap empty{.service = part.service, .zone = part.zone};
+  OwnershipMap empty{.service = service_zone.service,
+                     .zone = service_zone.zone};
   MapIndex index;
   for (std::uint32_t i = 0; i < zones->slots.size(); ++i) {
-    const ZoneName* zone = zone_of(state.cache, part.service, SlotId(i));
-    if (zone != nullptr && *zone == part.zone)
-      index.missing.push_back(SlotId(i));
+    const ZoneName* zone =
+        zone_of(state.cache, service_zone.service, SlotId(i));
+    if (zone != nullptr && *zone == service_zone.zone)
+      index.missing_slots.push_back(SlotId(i));
   }
-  if (index.missing.empty()) return;
-  MapEdit edit = begin_edit(state, part, index, empty, now);
-  adopt_missing(edit);
+  if (index.missing_slots.empty()) return;
+  MapEdit edit = begin_edit(state, service_zone, index, empty, now);
+  assign_missing_slots(edit);
   finish_edit(edit, effects);
 }
 
-void coordinate_part(core::State& state, const Part& part, Now now,
-                     Effects& effects) {
-  const MapIndex* index = map_index(state, part);
+void coordinate_service_zone(core::State& state,
+                             const ServiceZone& service_zone, Now now,
+                             Effects& effects) {
+  const MapIndex* index = map_index(state, service_zone);
   if (index == nullptr) {
-    create_map(state, part, now, effects);
+    create_map(state, service_zone, now, effects);
     return;
   }
-  if (write_pending(state, ownership_map_key(part.service, part.zone))) return;
-  MapEdit edit =
-      begin_edit(state, part, *index, *ownership_map(state.cache, part), now);
-  ClosurePhase closure = closure_phase(state, part.service);
+  if (write_pending(state,
+                    ownership_map_key(service_zone.service, service_zone.zone)))
+    return;
+  MapEdit edit = begin_edit(state, service_zone, *index,
+                            *ownership_map(state.cache, service_zone), now);
+  ClosurePhase closure = closure_phase(state, service_zone.service);
   bool closing = closure >= ClosurePhase::kRevoking;
-  drop_foreign(edit);
+  drop_other_zone_slots(edit);
   advance_unsettled(edit, closing);
   if (closing) {
     revoke_all(edit);
   } else {
     if (closure == ClosurePhase::kNone) reopen_closed(edit);
-    adopt_missing(edit);
+    assign_missing_slots(edit);
     evacuate(edit);
     apply_orders(edit);
     if (closure == ClosurePhase::kNone) order_placement(edit);
@@ -314,7 +325,8 @@
   const ServerView& view = it->second;
   if (is_gone(view)) return true;
   if (view.report == nullptr) return false;
-  if (view.report->lapsed && view.report->map_version >= unsettled.since)
+  if (view.report->lapsed &&
+      view.report->map_version >= unsettled.unsettled_since)
     return true;
   auto released = edit.released.find(record.owner);
   SlotGrant held{unit.slot, unit.key, Epoch(record.epoch.value - 1)};
@@ -327,7 +339,7 @@
   for (const ZoneName& zone : membership::coordinated_zones(state, now)) {
     for (const auto& [service, declared] : all->services) {
       maintain_zone_map(state, {service, zone}, now, effects);
-      coordinate_part(state, {service, zone}, now, effects);
+      coordinate_service_zone(state, {service, zone}, now, effects);
       maintain_history(state, {service, zone}, now, effects);
     }
   }
--- a/src/core/ownership/coordinator.h
+++ b/src/core/ownership/coordinator.h
@@ -10,15 +10,16 @@
 }
 
 /// Decisions of an availability zone's coordinator on the ownership maps. Each
-/// is taken from the stored records and the fronts' reports alone, so that any
-/// later coordinator can go on after any step.
+/// depends only on the stored records and the fronts' reports, so that a later
+/// coordinator can continue after any step.
 namespace eelgrasspin::core::ownership {
 
-/// Takes the next steps for every part of the zones that this daemon
+/// Takes the next steps for every service in the zones that this daemon
 /// coordinates.
 void coordinate(core::State& state, Now now, Effects& effects);
 
-/// Whether an owner has provably nothing of an unsettled unit left.
+/// Whether the owner of an unsettled unit provably holds nothing of it any
+/// more.
 bool is_revoked(const MapEdit& edit, const Unit& unit,
                 const UnsettledUnit& unsettled);
 
--- a/src/core/ownership/front.h
+++ b/src/core/ownership/front.h
@@ -13,27 +13,27 @@
 #include "eelgrasspin/ids.h"
 #include "eelgrasspin/units.h"
 
-/// The grant protocol of one backend server as its front runs it: plain data
-/// and the rules of time.
+/// The front's side of the grant protocol with one backend server: plain data
+/// and the timing rules.
 namespace eelgrasspin::core::ownership {
 
 /// A unit of the grant set.
 struct GrantedUnit {
   Epoch epoch;
-  std::uint64_t since_set = 0;  ///< First set version that has it.
-  bool closing =
-      false;  ///< Nothing new is sent; dropped once nothing is running.
+  std::uint64_t since_version = 0;  ///< First set version that has it.
+  /// No new requests are sent; dropped once none is running.
+  bool closing = false;
 };
 
-/// A unit that was taken out of the grant set, until the map shows no more
-/// interest in it.
+/// A unit removed from the grant set. Kept until the ownership map no longer
+/// shows it as being revoked from this server.
 struct DroppedUnit {
   Epoch epoch;
-  std::uint64_t since_set = 0;  ///< First set version without it.
-  TimePoint at;
-  /// Latest instant at which the server could still start work on it; not set
-  /// if it never held it from this front.
-  std::optional<TimePoint> hold_until;
+  std::uint64_t since_version = 0;  ///< First set version without it.
+  TimePoint dropped_at;
+  /// Latest time at which the server could still start work on it; not set if
+  /// the server never held it from this front.
+  std::optional<TimePoint> latest_expiry;
 };
 
 /// The front role of one backend server.
@@ -42,35 +42,39 @@
   FrontEpoch epoch;
   bool checks_grants = true;
   TimePoint since;  ///< When this daemon learned of its role.
-  /// When the earlier front was known to have stopped; not set until then.
+  /// When all earlier fronts were known to have stopped; not set until then.
   std::optional<TimePoint> predecessor_stopped;
   bool stale = false;  ///< The server obeys a higher front epoch.
-  /// This front was silent for so long that it may have been replaced; it acts
-  /// again only after reading its assignment from the store.
+  /// This daemon was paused or cut off for so long that it may have been
+  /// replaced; the front is active again only after its assignment has been
+  /// read from the store.
   bool unconfirmed = false;
-  std::optional<StoreOpId> confirming;  ///< Read under way.
-  TimePoint confirm_at;                 ///< Not before, for the next read.
+  std::optional<StoreOpId> pending_confirm_read;  ///< Not answered yet.
+  TimePoint next_confirm_read;  ///< Earliest time of the next read.
 
-  std::uint64_t sequence = 0;  ///< Of the last order sent.
-  bool outstanding = false;    ///< The last order is not answered yet.
+  std::uint64_t sequence = 0;    ///< Of the last order sent.
+  bool awaiting_answer = false;  ///< The last order is not answered yet.
   TimePoint last_sent;
-  std::uint64_t sent_set = 0;   ///< Set version of the last order.
-  std::uint64_t sent_echo = 0;  ///< Echo of the last order.
+  std::uint64_t sent_version = 0;  ///< Set version of the last order.
+  std::uint64_t sent_echo = 0;     ///< Echo of the last order.
   /// When the answer echoed by the last order was received.
   std::optional<TimePoint> sent_echo_received;
 
-  std::uint64_t newest_answer = 0;  ///< Sequence; 0: none.
+  std::uint64_t newest_answer_sequence = 0;  ///< 0: none.
   TimePoint newest_answer_received;
-  Duration unobserved{0};  ///< Pauses of this daemon since then.
+  Duration pause_since_answer{0};  ///< Pauses of this daemon since
+                                   ///< that answer.
   std::optional<TimePoint> first_answer;
   Incarnation incarnation;  ///< Of the server's process.
-  std::uint64_t known_set =
-      0;  ///< Set version that the server is known to have received.
-  std::uint64_t applied_set = 0;
+  /// Newest set version that the server is known to have received.
+  std::uint64_t received_version = 0;
+  /// Newest set version that the server is known to have in force.
+  std::uint64_t applied_version = 0;
   std::optional<TimePoint> send_until;  ///< Requests may be sent before this.
-  std::optional<TimePoint>
-      hold_until;  ///< The server starts no work after this, unless renewed.
-  bool unreachable = false;  ///< The last order had no answer.
+  /// Upper bound of the grant's expiry: the server starts no work after this,
+  /// unless the grant is renewed.
+  std::optional<TimePoint> latest_expiry;
+  bool unreachable = false;  ///< The last order was not answered.
 
   std::uint64_t set_version = 0;
   std::map<Unit, GrantedUnit> units;
@@ -78,54 +82,56 @@
   Version map_version;       ///< Ownership map from which `units` was made.
   Version zone_map_version;  ///< Zone map from which `units` was made.
 
-  /// What the coordinator waits for, as last reported.
-  struct News {
+  /// What was last reported of the things that the coordinator waits for.
+  struct ReportedState {
     std::size_t released = 0;
     bool grant_expired = false;
     bool lapsed = false;
     bool holds_grant = false;
 
-    bool operator==(const News&) const = default;
+    bool operator==(const ReportedState&) const = default;
   };
-  News news;
+  ReportedState reported_state;
 
-  // What the time line already has.
+  // Already recorded on the timeline.
   bool confirm_recorded = false;
   bool lapse_recorded = false;
 };
 
-/// Next order if one is due: a renewal interval has passed, the set changed, or
-/// an answer waits to be echoed for the first grant. Marks it as sent.
+/// The next order if one is due: the renewal interval has passed, the set has
+/// changed, or an answer has to be echoed for the first grant. Marks the order
+/// as sent.
 std::optional<GrantOrder> next_order(Front& front, const DaemonName& self,
                                      TimePoint now);
 
-/// Takes a reply to the order `sequence`.
+/// Applies the server's reply to the order numbered `sequence`.
 void apply_reply(Front& front, std::uint64_t sequence, const GrantReply& reply,
                  TimePoint now);
 
-/// Whether the server has confirmed a grant whose term has not passed.
+/// Whether the server has confirmed a grant that has not expired.
 bool grant_in_force(const Front& front, TimePoint now);
 
 /// Whether requests for a unit may be sent under a grant in force.
 bool may_send(const Front& front, const Unit& unit, Epoch epoch, TimePoint now);
 
-/// Instant after which no grant of this or an earlier front lets the server
-/// start work; not set while that cannot be known.
+/// Time after which no grant of this or an earlier front allows the server to
+/// start work; not set while it cannot be known.
 std::optional<TimePoint> latest_grant_expiry(const Front& front);
 
-/// Puts a unit into the set, or gives it a new epoch.
+/// Adds a unit to the grant set, or changes its epoch.
 void grant_unit(Front& front, const Unit& unit, Epoch epoch);
 
-/// Takes a unit out of the set.
+/// Removes a unit from the grant set.
 void drop_unit(Front& front, const Unit& unit, TimePoint now);
 
-/// Takes a pause of this daemon out of every wait for the server's grant to
-/// lapse: a jump of the clock looks like a pause, and proves no passed time.
+/// Extends every wait for the server's grant to expire by a pause of this
+/// daemon: a clock jump looks like a pause and does not prove that time has
+/// passed.
 void discount_pause(Front& front, Duration pause);
 
-/// Whether the server has nothing of a dropped unit running and cannot start
-/// anything of it: acknowledged, or the grant and the execution limit have
-/// passed.
+/// Whether the server has no request of a dropped unit running and cannot start
+/// one: it has acknowledged the removal, or the grant has expired and the
+/// execution limit has passed since.
 bool is_released(const Front& front, const Unit& unit, Duration execution_limit,
                  TimePoint now);
 
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -23,7 +23,7 @@
 
 std::map<ServerName, FrontAssignment> own_assignments(
     const core::State& state) {
-  std::map<ServerName, FrontAssignment> own;
+  std::map<ServerName, FrontAssignment> assignments;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
         const auto* roster = std::get_if<ZoneRoster>(&entry.record);
@@ -31,14 +31,14 @@
         for (const auto& [server, front] : roster->fronts) {
           if (front.daemon == state.self.name &&
               front.incarnation == state.self.incarnation)
-            own[server] = front;
+            assignments[server] = front;
         }
       });
-  return own;
+  return assignments;
 }
 
-void retire(core::State& state, const ServerName& server, Now now,
-            Effects& effects) {
+void end_front(core::State& state, const ServerName& server, Now now,
+               Effects& effects) {
   auto node = state.ownership.fronts.extract(server);
   Front& front = node.mapped();
   record(state,
@@ -49,8 +49,8 @@
   state.ownership.former_fronts[{server, front.epoch}] = now.mono;
 }
 
-void take_up(core::State& state, const ServerName& server,
-             const FrontAssignment& assignment, Now now, Effects& effects) {
+void start_front(core::State& state, const ServerName& server,
+                 const FrontAssignment& assignment, Now now, Effects& effects) {
   Front front{.server = server, .epoch = assignment.epoch, .since = now.mono};
   if (assignment.predecessors.empty()) front.predecessor_stopped = now.mono;
   state.ownership.fronts[server] = std::move(front);
@@ -62,7 +62,7 @@
          now, effects);
 }
 
-/// Whether the request path has nothing of a unit on the server.
+/// Whether the request path has no request of a unit running on the server.
 bool is_idle(const core::State& state, const ServerName& server,
              const Unit& unit) {
   return request::running(state, server, unit.slot, unit.key) == 0;
@@ -78,20 +78,21 @@
                    const MapIndex& index, const std::vector<SlotGrant>& wanted,
                    Now now) {
   bool changed = false;
-  std::vector<Unit> gone;
+  std::vector<Unit> dropped;
   for (auto& [unit, granted] : front.units) {
-    auto it = std::lower_bound(wanted.begin(), wanted.end(), unit,
-                               [](const SlotGrant& grant, const Unit& u) {
-                                 return Unit{grant.slot, grant.key} < u;
-                               });
+    auto it =
+        std::lower_bound(wanted.begin(), wanted.end(), unit,
+                         [](const SlotGrant& grant, const Unit& searched) {
+                           return Unit{grant.slot, grant.key} < searched;
+                         });
     if (it != wanted.end() && it->slot == unit.slot && it->key == unit.key)
       continue;
     granted.closing = true;
     if (!being_revoked(index, unit, front.server) ||
         is_idle(state, front.server, unit))
-      gone.push_back(unit);
+      dropped.push_back(unit);
   }
-  for (const Unit& unit : gone) {
+  for (const Unit& unit : dropped) {
     drop_unit(front, unit, now.mono);
     changed = true;
   }
@@ -121,9 +122,10 @@
                      [](const auto& entry) { return entry.second.closing; });
 }
 
-/// False while the ownership map is not known.
-bool refresh_set(core::State& state, Front& front, Now now) {
-  static const std::vector<SlotGrant> kNothing;
+/// Updates the grant set from the ownership map. False while the map is not
+/// known.
+bool update_grant_set(core::State& state, Front& front, Now now) {
+  static const std::vector<SlotGrant> kNoGrants;
   const ServerDeclaration* declared =
       server_declaration(state.cache, front.server);
   if (declared == nullptr) return front.set_version != 0;
@@ -134,7 +136,7 @@
                    index->zone_map_version == front.zone_map_version;
   if (same_maps && !has_closing(front)) return true;
   auto owned = index->owned.find(front.server);
-  const auto& wanted = owned == index->owned.end() ? kNothing : owned->second;
+  const auto& wanted = owned == index->owned.end() ? kNoGrants : owned->second;
   bool changed = drop_unwanted(state, front, *index, wanted, now);
   if (!same_maps) {
     changed = add_wanted(front, wanted) || changed;
@@ -178,12 +180,13 @@
       service_declaration(state.cache, declared->service);
   if (service == nullptr || service->on_isolation != IsolationPolicy::kYield)
     return false;
-  const auto& heard = state.ownership.store_heard;
-  return !heard.has_value() || now.mono - *heard > service->yield_after;
+  const auto& last_answer = state.ownership.last_store_answer;
+  return !last_answer.has_value() ||
+         now.mono - *last_answer > service->yield_after;
 }
 
-bool released(const core::State& state, const Front& front, const Unit& unit,
-              Now now) {
+bool is_unit_released(const core::State& state, const Front& front,
+                      const Unit& unit, Now now) {
   Duration limit = execution_limit(state, front.server);
   if (!unit.key.empty() && !is_idle(state, front.server, unit)) return false;
   if (front.checks_grants) return is_released(front, unit, limit, now.mono);
@@ -191,13 +194,12 @@
       front.unconfirmed)
     return false;
   auto it = front.dropped.find(unit);
-  TimePoint quiet_since =
-      it == front.dropped.end() ? *front.predecessor_stopped : it->second.at;
-  return is_idle(state, front.server, unit) && now.mono > quiet_since + limit;
+  TimePoint idle_since = it == front.dropped.end() ? *front.predecessor_stopped
+                                                   : it->second.dropped_at;
+  return is_idle(state, front.server, unit) && now.mono > idle_since + limit;
 }
 
-const MapIndex* known_index(const core::State& state,
-                            const ServerName& server) {
+const MapIndex* find_index(const core::State& state, const ServerName& server) {
   const ServerDeclaration* declared = server_declaration(state.cache, server);
   if (declared == nullptr) return nullptr;
   auto it = state.ownership.indexes.find({declared->service, declared->zone});
@@ -207,11 +209,11 @@
 std::vector<SlotGrant> released_units(const core::State& state,
                                       const Front& front, Now now) {
   std::vector<SlotGrant> units;
-  const MapIndex* index = known_index(state, front.server);
+  const MapIndex* index = find_index(state, front.server);
   if (index == nullptr) return units;
   for (const auto& [unit, unsettled] : index->unsettled) {
     if (unsettled.record.owner != front.server) continue;
-    if (released(state, front, unit, now)) {
+    if (is_unit_released(state, front, unit, now)) {
       units.push_back(
           {unit.slot, unit.key, Epoch(unsettled.record.epoch.value - 1)});
     }
@@ -225,12 +227,13 @@
                                    front.predecessor_stopped.has_value();
 }
 
-bool is_grant_expired(const core::State& state, const Front& front, Now now) {
+bool is_server_unresponsive(const core::State& state, const Front& front,
+                            Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
-  std::optional<TimePoint> hold = latest_grant_expiry(front);
-  return hold.has_value() && now.mono > *hold &&
-         (front.unreachable || front.newest_answer == 0);
+  std::optional<TimePoint> expiry = latest_grant_expiry(front);
+  return expiry.has_value() && now.mono > *expiry &&
+         (front.unreachable || front.newest_answer_sequence == 0);
 }
 
 FrontReport make_report(const core::State& state, const Front& front, Now now) {
@@ -246,42 +249,43 @@
           .running = request::running(state, front.server),
           .slot_rates = std::move(load.slot_rates),
           .hot_keys = std::move(load.hot_keys),
-          .grant_expired = is_grant_expired(state, front, now),
+          .silent = is_server_unresponsive(state, front, now),
           .map_version = front.map_version};
 }
 
-/// Sends the next heartbeat at once if it has something that the coordinator
-/// waits for.
-void hurry_news(core::State& state, Front& front, Now now) {
-  Front::News news{.released = released_units(state, front, now).size(),
-                   .grant_expired = is_grant_expired(state, front, now),
-                   .lapsed = is_lapsed(state, front, now),
-                   .holds_grant = holds_grant(state, front, now)};
-  if (news == front.news) return;
-  front.news = news;
+/// Sends the next heartbeat early if something that the coordinator waits for
+/// has changed.
+void expedite_changed_report(core::State& state, Front& front, Now now) {
+  Front::ReportedState reported_state{
+      .released = released_units(state, front, now).size(),
+      .silent = is_server_unresponsive(state, front, now),
+      .lapsed = is_lapsed(state, front, now),
+      .holds_grant = holds_grant(state, front, now)};
+  if (reported_state == front.reported_state) return;
+  front.reported_state = reported_state;
   membership::expedite_heartbeat(state, now);
 }
 
-/// Time for which the end of a front role is still reported.
-constexpr Duration kFormerFrontReported = seconds(30);
+/// How long the end of a front role is reported.
+constexpr Duration kFormerFrontReportTime = seconds(30);
 
 }  // namespace
 
 void sync_fronts(core::State& state, Now now, Effects& effects) {
-  if (state.ownership.seen_generation == state.cache.generation) return;
-  state.ownership.seen_generation = state.cache.generation;
-  auto own = own_assignments(state);
+  if (state.ownership.synced_generation == state.cache.generation) return;
+  state.ownership.synced_generation = state.cache.generation;
+  auto assignments = own_assignments(state);
   std::vector<ServerName> ended;
   for (const auto& [server, front] : state.ownership.fronts) {
-    auto it = own.find(server);
-    if (it == own.end() || it->second.epoch != front.epoch)
+    auto it = assignments.find(server);
+    if (it == assignments.end() || it->second.epoch != front.epoch)
       ended.push_back(server);
   }
-  for (const ServerName& server : ended) retire(state, server, now, effects);
-  for (const auto& [server, assignment] : own) {
+  for (const ServerName& server : ended) end_front(state, server, now, effects);
+  for (const auto& [server, assignment] : assignments) {
     auto it = state.ownership.fronts.find(server);
     if (it == state.ownership.fronts.end()) {
-      take_up(state, server, assignment, now, effects);
+      start_front(state, server, assignment, now, effects);
     } else if (assignment.predecessors.empty() &&
                !it->second.predecessor_stopped.has_value()) {
       it->second.predecessor_stopped = now.mono;
@@ -289,17 +293,17 @@
   }
 }
 
-void note_silence(core::State& state, Now now) {
+void mark_unconfirmed_fronts(core::State& state, Now now) {
   bool paused =
       now.mono - state.ownership.last_step > config::kIsolatedFrontTimeout;
-  bool lone = !membership::may_renew_grants(state, now);
+  bool isolated = !membership::may_renew_grants(state, now);
   state.ownership.last_step = now.mono;
   if (membership::is_store_reachable(state, now))
-    state.ownership.store_heard = now.mono;
-  if (!paused && !lone) return;
+    state.ownership.last_store_answer = now.mono;
+  if (!paused && !isolated) return;
   for (auto& [server, front] : state.ownership.fronts) {
     front.unconfirmed = true;
-    if (paused) front.confirming.reset();
+    if (paused) front.pending_confirm_read.reset();
   }
 }
 
@@ -308,21 +312,22 @@
   const auto* answer = std::get_if<StoreAnswered>(&event);
   for (auto& [server, front] : state.ownership.fronts) {
     if (!front.unconfirmed) continue;
-    if (answer != nullptr && front.confirming == answer->op) {
-      front.confirming.reset();
-      front.confirm_at = now.mono + config::kStoreRetryInterval;
+    if (answer != nullptr && front.pending_confirm_read == answer->op) {
+      front.pending_confirm_read.reset();
+      front.next_confirm_read = now.mono + config::kStoreRetryInterval;
       const auto* read = std::get_if<StoreRead>(&answer->result);
       if (read == nullptr) continue;
       for (const StoreEntry& entry : read->entries) apply(state.cache, entry);
       front.unconfirmed = false;
-    } else if (!front.confirming.has_value() && now.mono >= front.confirm_at) {
+    } else if (!front.pending_confirm_read.has_value() &&
+               now.mono >= front.next_confirm_read) {
       const ServerDeclaration* declared =
           server_declaration(state.cache, server);
       if (declared == nullptr) continue;
-      front.confirming = next_store_op(state);
+      front.pending_confirm_read = next_store_op(state);
       ++state.counters[Counter::kStoreReads];
       effects.push_back(
-          StoreGet{*front.confirming, roster_key(declared->zone)});
+          StoreGet{*front.pending_confirm_read, roster_key(declared->zone)});
     }
   }
 }
@@ -364,16 +369,16 @@
   }
 }
 
-void drive_fronts(core::State& state, Now now, Effects& effects) {
+void update_fronts(core::State& state, Now now, Effects& effects) {
   std::erase_if(state.ownership.former_fronts, [&](const auto& entry) {
-    return now.mono - entry.second > kFormerFrontReported;
+    return now.mono - entry.second > kFormerFrontReportTime;
   });
   for (auto& [server, front] : state.ownership.fronts) {
-    bool map_known = refresh_set(state, front, now);
+    bool map_known = update_grant_set(state, front, now);
     if (front.checks_grants && map_known && may_act(state, front, now))
       send_order(state, front, now, effects);
     record_lapse(state, front, now, effects);
-    hurry_news(state, front, now);
+    expedite_changed_report(state, front, now);
   }
 }
 
@@ -386,9 +391,9 @@
 bool is_lapsed(const core::State& state, const Front& front, Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
-  std::optional<TimePoint> hold = latest_grant_expiry(front);
-  return hold.has_value() &&
-         now.mono > *hold + execution_limit(state, front.server);
+  std::optional<TimePoint> expiry = latest_grant_expiry(front);
+  return expiry.has_value() &&
+         now.mono > *expiry + execution_limit(state, front.server);
 }
 
 std::vector<ServerName> fronted_servers(const core::State& state) {
--- a/src/core/ownership/fronts.h
+++ b/src/core/ownership/fronts.h
@@ -9,35 +9,35 @@
 struct State;
 }
 
-/// The fronts held by this daemon: which servers, what they are granted, when
-/// orders go out.
+/// The front roles of this daemon: which servers it fronts, what they are
+/// granted and when grant orders are sent.
 namespace eelgrasspin::core::ownership {
 
-/// Takes up new front roles and gives up old ones, as the rosters say.
+/// Starts and ends front roles according to the rosters.
 void sync_fronts(core::State& state, Now now, Effects& effects);
 
-/// Notes that this daemon was silent for so long that its fronts may have been
-/// replaced.
-void note_silence(core::State& state, Now now);
+/// Marks all fronts as unconfirmed if this daemon was paused or cut off for so
+/// long that they may have been replaced.
+void mark_unconfirmed_fronts(core::State& state, Now now);
 
-/// Reads the rosters anew for fronts that may have been replaced, and takes the
+/// Reads the rosters of unconfirmed fronts from the store and handles the
 /// answers.
 void confirm_fronts(core::State& state, const Event& event, Now now,
                     Effects& effects);
 
-/// Takes a server's reply.
+/// Handles a server's reply to a grant order.
 void on_grant_reply(core::State& state, const GrantReplied& reply, Now now,
                     Effects& effects);
 
-/// Brings the grant sets up to date with the ownership maps and sends the
-/// orders that are due.
-void drive_fronts(core::State& state, Now now, Effects& effects);
+/// Updates the grant sets from the ownership maps and sends the grant orders
+/// that are due.
+void update_fronts(core::State& state, Now now, Effects& effects);
 
 /// Whether a front may renew grants and send requests.
 bool may_act(const core::State& state, const Front& front, Now now);
 
-/// Whether no grant of this or an earlier front can be in force and nothing
-/// started under one can be running.
+/// Whether no grant of this or an earlier front can be in force and no request
+/// started under one can still be running.
 bool is_lapsed(const core::State& state, const Front& front, Now now);
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/history.cc
+++ b/src/core/ownership/history.cc
@@ -13,10 +13,10 @@
 namespace eelgrasspin::core::ownership {
 namespace {
 
-constexpr Duration kHistoryInterval = seconds(1);
-/// Closed spans kept; with the open ones the value stays below
+constexpr Duration kHistoryWriteInterval = seconds(1);
+/// Together with the open spans, the stored value stays below
 /// config::kStoreValueMaxBytes.
-constexpr std::size_t kClosedSpans = 3000;
+constexpr std::size_t kMaxClosedSpans = 3000;
 
 /// Who holds a unit, under which epoch and since when.
 struct Holding {
@@ -40,10 +40,10 @@
 }
 
 std::optional<Holding> holding_of(const SlotRecord& record, WallTime wall) {
-  bool leaving = record.phase == SlotPhase::kMoving ||
-                 record.phase == SlotPhase::kReleasing;
-  if (!leaving && record.phase != SlotPhase::kOwned) return std::nullopt;
-  Epoch held = leaving ? Epoch(record.epoch.value - 1) : record.epoch;
+  bool being_revoked = record.phase == SlotPhase::kMoving ||
+                       record.phase == SlotPhase::kReleasing;
+  if (!being_revoked && record.phase != SlotPhase::kOwned) return std::nullopt;
+  Epoch held = being_revoked ? Epoch(record.epoch.value - 1) : record.epoch;
   return Holding{record.owner, held, wall};
 }
 
@@ -60,12 +60,12 @@
   return holdings;
 }
 
-bool same_holder(const Holding& left, const Holding& right) {
+bool has_same_holder(const Holding& left, const Holding& right) {
   return left.server == right.server && left.epoch == right.epoch;
 }
 
-void append(std::vector<OwnershipSpan>& spans, const Unit& unit,
-            const Holding& holding, std::optional<WallTime> until) {
+void append_span(std::vector<OwnershipSpan>& spans, const Unit& unit,
+                 const Holding& holding, std::optional<WallTime> until) {
   if (!spans.empty()) {
     OwnershipSpan& last = spans.back();
     bool joins = unit.key.empty() && last.key.empty() &&
@@ -83,52 +83,58 @@
 
 void drop_oldest(OwnershipHistory& history,
                  std::vector<OwnershipSpan>& closed) {
-  if (closed.size() <= kClosedSpans) return;
-  std::size_t excess = closed.size() - kClosedSpans;
+  if (closed.size() <= kMaxClosedSpans) return;
+  std::size_t excess = closed.size() - kMaxClosedSpans;
   closed.erase(closed.begin(),
                closed.begin() + static_cast<std::ptrdiff_t>(excess));
   history.dropped_spans += excess;
 }
 
-void load(HistoryMemory& memory, const Part& part, const Record& record) {
+void load_stored(HistoryState& history_state, const ServiceZone& service_zone,
+                 const Record& record) {
   const auto* stored = std::get_if<OwnershipHistory>(&record);
-  memory.draft = stored != nullptr ? *stored
-                                   : OwnershipHistory{.service = part.service,
-                                                      .zone = part.zone};
+  history_state.draft = stored != nullptr
+                            ? *stored
+                            : OwnershipHistory{.service = service_zone.service,
+                                               .zone = service_zone.zone};
   if (std::holds_alternative<DamagedRecord>(record))
-    memory.draft.dropped_spans = 1;
-  memory.loaded = true;
-  memory.seen_map = Version(0);
+    history_state.draft.dropped_spans = 1;
+  history_state.loaded = true;
+  history_state.draft_map_version = Version(0);
 }
 
-void start_read(core::State& state, HistoryMemory& memory, const Part& part,
-                Now now, Effects& effects) {
-  if (memory.reading.has_value() || now.mono < memory.read_at) return;
-  memory.reading = next_store_op(state);
+void start_read(core::State& state, HistoryState& history_state,
+                const ServiceZone& service_zone, Now now, Effects& effects) {
+  if (history_state.pending_read.has_value() ||
+      now.mono < history_state.next_read)
+    return;
+  history_state.pending_read = next_store_op(state);
   ++state.counters[Counter::kStoreReads];
-  effects.push_back(StoreGet{*memory.reading,
-                             ownership_history_key(part.service, part.zone)});
+  effects.push_back(
+      StoreGet{*history_state.pending_read,
+               ownership_history_key(service_zone.service, service_zone.zone)});
 }
 
-void follow_map(const core::State& state, HistoryMemory& memory,
-                const Part& part, Now now) {
-  Version version =
-      version_of(state.cache, ownership_map_key(part.service, part.zone));
-  const OwnershipMap* map = ownership_map(state.cache, part);
-  if (map == nullptr || version == memory.seen_map) return;
-  memory.seen_map = version;
-  std::vector<OwnershipSpan> before = memory.draft.spans;
+void follow_map(const core::State& state, HistoryState& history_state,
+                const ServiceZone& service_zone, Now now) {
+  Version version = version_of(
+      state.cache, ownership_map_key(service_zone.service, service_zone.zone));
+  const OwnershipMap* map = ownership_map(state.cache, service_zone);
+  if (map == nullptr || version == history_state.draft_map_version) return;
+  history_state.draft_map_version = version;
+  std::vector<OwnershipSpan> before = history_state.draft.spans;
   const ServiceDeclaration* service =
-      service_declaration(state.cache, part.service);
+      service_declaration(state.cache, service_zone.service);
   if (service == nullptr) return;
-  observe(memory.draft, *map, service->key_slots, now.wall);
-  memory.dirty = memory.dirty || before != memory.draft.spans;
+  update_spans(history_state.draft, *map, service->key_slots, now.wall);
+  history_state.dirty =
+      history_state.dirty || before != history_state.draft.spans;
 }
 
 }  // namespace
 
-void observe(OwnershipHistory& history, const OwnershipMap& map,
-             std::uint32_t key_slots, WallTime wall) {
+void update_spans(OwnershipHistory& history, const OwnershipMap& map,
+                  std::uint32_t key_slots, WallTime wall) {
   Holdings before = open_holdings(history);
   Holdings after = map_holdings(map, key_slots, wall);
   std::vector<OwnershipSpan> closed;
@@ -136,63 +142,66 @@
       history.spans.begin(), history.spans.end(), std::back_inserter(closed),
       [](const OwnershipSpan& span) { return span.until.has_value(); });
   for (const auto& [unit, holding] : before) {
-    auto now_held = after.find(unit);
-    if (now_held != after.end() && same_holder(now_held->second, holding)) {
-      now_held->second.from = holding.from;
+    auto still_held = after.find(unit);
+    if (still_held != after.end() &&
+        has_same_holder(still_held->second, holding)) {
+      still_held->second.from = holding.from;
     } else {
-      append(closed, unit, holding, wall);
+      append_span(closed, unit, holding, wall);
     }
   }
   drop_oldest(history, closed);
   std::vector<OwnershipSpan> open;
   for (const auto& [unit, holding] : after)
-    append(open, unit, holding, std::nullopt);
+    append_span(open, unit, holding, std::nullopt);
   history.spans = std::move(closed);
   history.spans.insert(history.spans.end(), open.begin(), open.end());
 }
 
-void maintain_history(core::State& state, const Part& part, Now now,
-                      Effects& effects) {
-  HistoryMemory& memory = state.ownership.parts[part].history;
-  TermEpoch term = membership::coordinator_epoch(state, part.zone);
-  StoreKey key = ownership_history_key(part.service, part.zone);
+void maintain_history(core::State& state, const ServiceZone& service_zone,
+                      Now now, Effects& effects) {
+  HistoryState& history_state =
+      state.ownership.service_zones[service_zone].history;
+  TermEpoch term = membership::coordinator_epoch(state, service_zone.zone);
+  StoreKey key = ownership_history_key(service_zone.service, service_zone.zone);
   const SettledWrite* write = settled_write(state, key);
-  bool overtaken = write != nullptr && !write->took_effect;
-  if (memory.term != term || overtaken) memory = HistoryMemory{.term = term};
-  if (!memory.loaded) {
-    start_read(state, memory, part, now, effects);
+  bool lost_to_conflict = write != nullptr && !write->took_effect;
+  if (history_state.term != term || lost_to_conflict)
+    history_state = HistoryState{.term = term};
+  if (!history_state.loaded) {
+    start_read(state, history_state, service_zone, now, effects);
     return;
   }
-  follow_map(state, memory, part, now);
-  if (!memory.dirty || now.mono < memory.write_at || write_pending(state, key))
+  follow_map(state, history_state, service_zone, now);
+  if (!history_state.dirty || now.mono < history_state.next_write ||
+      write_pending(state, key))
     return;
-  memory.dirty = false;
-  memory.write_at = now.mono + kHistoryInterval;
-  memory.draft.write_id = new_write_id(state);
-  start_write(state, key, version_of(state.cache, key), memory.draft, now,
-              effects);
+  history_state.dirty = false;
+  history_state.next_write = now.mono + kHistoryWriteInterval;
+  history_state.draft.write_id = new_write_id(state);
+  start_write(state, key, version_of(state.cache, key), history_state.draft,
+              now, effects);
 }
 
-void take_history_answer(core::State& state, const StoreAnswered& answer,
-                         Now now) {
-  for (auto& [part, part_state] : state.ownership.parts) {
-    HistoryMemory& memory = part_state.history;
-    if (memory.reading != answer.op) continue;
-    memory.reading.reset();
-    memory.read_at = now.mono + config::kStoreRetryInterval;
+void on_history_read(core::State& state, const StoreAnswered& answer, Now now) {
+  for (auto& [service_zone, zone_state] : state.ownership.service_zones) {
+    HistoryState& history_state = zone_state.history;
+    if (history_state.pending_read != answer.op) continue;
+    history_state.pending_read.reset();
+    history_state.next_read = now.mono + config::kStoreRetryInterval;
     const auto* read = std::get_if<StoreRead>(&answer.result);
     if (read == nullptr || read->entries.empty()) continue;
     apply(state.cache, read->entries.front());
-    load(memory, part, read->entries.front().record);
+    load_stored(history_state, service_zone, read->entries.front().record);
   }
 }
 
 std::vector<OwnershipSpan> history(const core::State& state,
                                    const ServiceName& service,
                                    const ZoneName& zone) {
-  auto part = state.ownership.parts.find({service, zone});
-  if (part != state.ownership.parts.end() && part->second.history.loaded)
-    return part->second.history.draft.spans;
+  auto it = state.ownership.service_zones.find({service, zone});
+  if (it != state.ownership.service_zones.end() && it->second.history.loaded)
+    return it->second.history.draft.spans;
   const auto* stored =
       find<OwnershipHistory>(state.cache, ownership_history_key(service, zone));
   return stored == nullptr ? std::vector<OwnershipSpan>() : stored->spans;
--- a/src/core/ownership/history.h
+++ b/src/core/ownership/history.h
@@ -11,23 +11,22 @@
 struct State;
 }
 
-/// Who owned which slots when, for the closing reports.
+/// Ownership history of slots, for the closing reports.
 namespace eelgrasspin::core::ownership {
 
-/// Updates open spans from a map: a unit whose owner or epoch changed closes
-/// its span at `wall` and opens another one. Neighbouring slots with the same
-/// owner, epoch and times share a span.
-void observe(OwnershipHistory& history, const OwnershipMap& map,
-             std::uint32_t key_slots, WallTime wall);
+/// Updates the spans from an ownership map: if a unit's owner or epoch has
+/// changed, its span ends at `wall` and another one starts. Adjacent slots with
+/// the same owner, epoch and times share a span.
+void update_spans(OwnershipHistory& history, const OwnershipMap& map,
+                  std::uint32_t key_slots, WallTime wall);
 
-/// Reads the stored history once for each coordinator term, follows the map
-/// and writes at most once each second.
-void maintain_history(core::State& state, const Part& part, Now now,
-                      Effects& effects);
+/// Reads the stored history once in each coordinator term, updates it when the
+/// map changes and writes it at most once a second.
+void maintain_history(core::State& state, const ServiceZone& service_zone,
+                      Now now, Effects& effects);
 
-/// Takes the answer to a read of a stored history.
-void take_history_answer(core::State& state, const StoreAnswered& answer,
-                         Now now);
+/// Handles the answer to a read of a stored history.
+void on_history_read(core::State& state, const StoreAnswered& answer, Now now);
 
 }  // namespace eelgrasspin::core::ownership
 
--- a/src/core/ownership/move_orders.cc
+++ b/src/core/ownership/move_orders.cc
@@ -1,96 +1,99 @@
+#include "core/ownership/move_orders.h"
+
 #include <utility>
 
 #include "core/membership/membership.h"
 #include "core/ownership/maps.h"
-#include "core/ownership/move_orders.h"
 #include "core/ownership/ownership.h"
 #include "core/state.h"
 
 namespace eelgrasspin::core::ownership {
 namespace {
 
-enum class OrderState { kWaits, kDone };
+enum class OrderResult { kWaiting, kDone };
 
-/// Puts a key under a record of its own, still owned by its slot's owner and
-/// about to move.
+/// Gives a key a record of its own, with its slot's owner, and starts its move.
 void carve_out(MapEdit& edit, const Unit& unit, const SlotRecord& slot,
                const MoveOrder& order) {
-  editable(edit).overrides[unit.key] = {
+  mutable_map(edit).overrides[unit.key] = {
       .owner = slot.owner, .epoch = slot.epoch, .phase = SlotPhase::kOwned};
   start_move(edit, unit, order.target, order.cause);
 }
 
-OrderState carry_out_new_key(MapEdit& edit, const Unit& unit,
-                             const MoveOrder& order) {
-  const OwnershipMap& map = latest(edit);
+OrderResult execute_key_order(MapEdit& edit, const Unit& unit,
+                              const MoveOrder& order) {
+  const OwnershipMap& map = latest_map(edit);
   const SlotRecord* slot = unit_record(map, {unit.slot, Key()});
-  if (slot == nullptr) return OrderState::kDone;
-  if (slot->phase != SlotPhase::kOwned) return OrderState::kWaits;
+  if (slot == nullptr) return OrderResult::kDone;
+  if (slot->phase != SlotPhase::kOwned) return OrderResult::kWaiting;
   if (slot->owner == order.target ||
       map.overrides.size() >= config::kMaxKeyOverrides)
-    return OrderState::kDone;
+    return OrderResult::kDone;
   carve_out(edit, unit, SlotRecord(*slot), order);
-  return OrderState::kDone;
+  return OrderResult::kDone;
 }
 
 void start_release(MapEdit& edit, const Unit& unit, const MoveOrder& order) {
-  SlotRecord& record = *unit_record(editable(edit), unit);
+  SlotRecord& record = *unit_record(mutable_map(edit), unit);
   record.phase = SlotPhase::kReleasing;
   record.target_zone = order.target_zone;
   record.epoch = record.epoch.next();
-  announce(edit, TimelineKind::kZoneHandover, record.owner, ServerName(),
-           order.cause, unit);
+  queue_event(edit, TimelineKind::kZoneHandover, record.owner, ServerName(),
+              order.cause, unit);
 }
 
-/// A slot goes to another zone with the keys carved out of it.
-OrderState release_to_zone(MapEdit& edit, const Unit& unit,
-                           const MoveOrder& order) {
+/// Hands a slot over to another zone, together with the keys carved out of it.
+OrderResult release_to_zone(MapEdit& edit, const Unit& unit,
+                            const MoveOrder& order) {
   std::vector<Key> keys;
-  for (const auto& [key, record] : latest(edit).overrides) {
-    if (slot_of_key(edit.state.cache, edit.part.service, key) != unit.slot)
+  for (const auto& [key, record] : latest_map(edit).overrides) {
+    if (slot_of_key(edit.state.cache, edit.service_zone.service, key) !=
+        unit.slot)
       continue;
-    if (record.phase != SlotPhase::kOwned) return OrderState::kWaits;
+    if (record.phase != SlotPhase::kOwned) return OrderResult::kWaiting;
     keys.push_back(key);
   }
   for (const Key& key : keys) start_release(edit, {unit.slot, key}, order);
   start_release(edit, unit, order);
-  return OrderState::kDone;
+  return OrderResult::kDone;
 }
 
-OrderState carry_out(MapEdit& edit, const Unit& unit, const MoveOrder& order) {
-  const SlotRecord* record = unit_record(latest(edit), unit);
+OrderResult execute_order(MapEdit& edit, const Unit& unit,
+                          const MoveOrder& order) {
+  const SlotRecord* record = unit_record(latest_map(edit), unit);
   if (record == nullptr && !unit.key.empty())
-    return carry_out_new_key(edit, unit, order);
-  if (record == nullptr) return OrderState::kDone;
-  if (record->phase != SlotPhase::kOwned) return OrderState::kWaits;
+    return execute_key_order(edit, unit, order);
+  if (record == nullptr) return OrderResult::kDone;
+  if (record->phase != SlotPhase::kOwned) return OrderResult::kWaiting;
   if (!order.target_zone.empty()) return release_to_zone(edit, unit, order);
   auto target = edit.servers.find(order.target);
   if (record->owner == order.target || target == edit.servers.end() ||
       !is_usable(target->second))
-    return OrderState::kDone;
+    return OrderResult::kDone;
   start_move(edit, unit, order.target, order.cause);
-  return OrderState::kDone;
+  return OrderResult::kDone;
 }
 
 const ServiceDeclaration* check_service(const core::State& state,
                                         const MoveCommand& move,
-                                        Error& problem) {
+                                        Error& service_error) {
   const ServiceDeclaration* service =
       service_declaration(state.cache, move.service);
   if (service == nullptr) {
-    problem = {ErrorCode::kNotFound,
-               "no service '" + move.service.str() + "' is declared"};
+    service_error = {ErrorCode::kNotFound,
+                     "no service '" + move.service.str() + "' is declared"};
   } else if (move.slot.has_value() && move.slot->value >= service->key_slots) {
-    problem = {ErrorCode::kInvalid, "slot " + std::to_string(move.slot->value) +
-                                        " is not below " +
-                                        std::to_string(service->key_slots)};
+    service_error = {ErrorCode::kInvalid,
+                     "slot " + std::to_string(move.slot->value) +
+                         " is not below " + std::to_string(service->key_slots)};
     service = nullptr;
   }
   return service;
 }
 
 std::optional<Error> check_target(const core::State& state,
-                                  const MoveCommand& move, const Part& part) {
+                                  const MoveCommand& move,
+                                  const ServiceZone& service_zone) {
   if (!move.zone.empty()) {
     const Declarations& all = *declarations(state.cache);
     if (!all.zones.contains(move.zone))
@@ -102,7 +105,7 @@
                                             move.service.str()};
     return std::nullopt;
   }
-  ServerViews servers = view_servers(state, part);
+  ServerViews servers = view_servers(state, service_zone);
   auto it = servers.find(move.server);
   if (it == servers.end()) {
     const ServerDeclaration* declared =
@@ -112,7 +115,7 @@
                    "no server '" + move.server.str() + "' is declared"};
     return Error{ErrorCode::kInvalid, move.server.str() + " does not serve " +
                                           move.service.str() + " in zone " +
-                                          part.zone.str() +
+                                          service_zone.zone.str() +
                                           "; move the slot to its zone first"};
   }
   if (!is_usable(it->second))
@@ -120,22 +123,24 @@
   return std::nullopt;
 }
 
-/// What has become of a move that the map shows, if it does.
-std::optional<Result<std::string>> progress(const MoveCommand& move,
-                                            const SlotRecord& record) {
+/// The state of a move according to the unit's record; not set if the record
+/// shows no move.
+std::optional<Result<std::string>> order_progress(const MoveCommand& move,
+                                                  const SlotRecord& record) {
   if (record.phase == SlotPhase::kClosed)
     return Error{ErrorCode::kRefused, "the service is closed"};
   if (record.phase == SlotPhase::kOwned && record.owner == move.server)
     return std::string("done");
   if (record.phase == SlotPhase::kMoving && record.target == move.server)
     return std::string("moving");
-  bool leaves = record.phase == SlotPhase::kReleasing ||
-                record.phase == SlotPhase::kHandedOver;
-  if (leaves && record.target_zone == move.zone) return std::string("moving");
+  bool leaving_zone = record.phase == SlotPhase::kReleasing ||
+                      record.phase == SlotPhase::kHandedOver;
+  if (leaving_zone && record.target_zone == move.zone)
+    return std::string("moving");
   if (record.phase == SlotPhase::kMoving)
     return Error{ErrorCode::kConflict,
                  "already moving to " + record.target.str()};
-  if (leaves)
+  if (leaving_zone)
     return Error{ErrorCode::kConflict,
                  "already moving to zone " + record.target_zone.str()};
   return std::nullopt;
@@ -144,17 +149,17 @@
 }  // namespace
 
 void apply_orders(MapEdit& edit) {
-  auto& orders = edit.state.ownership.parts[edit.part].orders;
+  auto& orders = edit.state.ownership.service_zones[edit.service_zone].orders;
   std::erase_if(orders, [&](const auto& entry) {
-    return carry_out(edit, entry.first, entry.second) == OrderState::kDone;
+    return execute_order(edit, entry.first, entry.second) == OrderResult::kDone;
   });
 }
 
 Result<std::string> order_move(core::State& state, const MoveCommand& move,
                                Now now, Effects& /*effects*/) {
-  Error problem;
-  const ServiceDeclaration* service = check_service(state, move, problem);
-  if (service == nullptr) return problem;
+  Error service_error;
+  const ServiceDeclaration* service = check_service(state, move, service_error);
+  if (service == nullptr) return service_error;
   SlotId slot = move.slot.has_value() ? *move.slot
                                       : slot_of(move.key, service->key_slots);
   const ZoneName* zone = zone_of(state.cache, move.service, slot);
@@ -164,23 +169,26 @@
   if (!membership::coordinates(state, *zone, now))
     return Error{ErrorCode::kUnavailable,
                  "this daemon does not coordinate zone " + zone->str()};
-  Part part{move.service, *zone};
-  FoundUnit found = find_unit(state.cache, part, slot, move.key);
+  ServiceZone service_zone{move.service, *zone};
+  FoundUnit found = find_unit(state.cache, service_zone, slot, move.key);
   if (found.record == nullptr)
     return Error{ErrorCode::kUnavailable, "the ownership map is not known yet"};
-  if (auto known = progress(move, *found.record); known.has_value())
-    return *known;
-  if (auto wrong = check_target(state, move, part); wrong.has_value())
-    return *wrong;
+  if (auto current_progress = order_progress(move, *found.record);
+      current_progress.has_value())
+    return *current_progress;
+  if (auto target_error = check_target(state, move, service_zone);
+      target_error.has_value())
+    return *target_error;
   Unit unit{slot, move.zone.empty() ? move.key : Key()};
   MoveOrder order{
       .target = move.server, .target_zone = move.zone, .cause = "operator"};
-  auto& orders = state.ownership.parts[part].orders;
-  auto [it, added] = orders.emplace(unit, order);
+  auto& orders = state.ownership.service_zones[service_zone].orders;
+  auto [it, inserted] = orders.emplace(unit, order);
   bool same = it->second.target == order.target &&
               it->second.target_zone == order.target_zone;
-  if (!added && !same)
-    return Error{ErrorCode::kConflict, "another move of it waits already"};
+  if (!inserted && !same)
+    return Error{ErrorCode::kConflict,
+                 "another move of this slot or key is already waiting"};
   return std::string("waiting");
 }
 
--- a/src/core/ownership/move_orders.h
+++ b/src/core/ownership/move_orders.h
@@ -3,11 +3,11 @@
 
 #include "core/ownership/map_edit.h"
 
-/// Moves asked for by operators and by the placement policy.
+/// Moves ordered by operators and by the placement policy.
 namespace eelgrasspin::core::ownership {
 
-/// Starts the ordered moves whose units are settled, and forgets those that
-/// cannot be carried out any more.
+/// Starts the ordered moves whose units are settled, and drops orders that can
+/// no longer be carried out.
 void apply_orders(MapEdit& edit);
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/ownership.cc
+++ b/src/core/ownership/ownership.cc
@@ -11,7 +11,7 @@
 namespace eelgrasspin::core::ownership {
 namespace {
 
-/// Events of single requests change nothing here before the next tick.
+/// Events of single requests have no effect on ownership before the next tick.
 bool concerns_ownership(const Event& event) {
   return !std::holds_alternative<RequestArrived>(event) &&
          !std::holds_alternative<RequestCancelled>(event) &&
@@ -19,8 +19,8 @@
 }
 
 void settle_writes(core::State& state, Now now, Effects& effects) {
-  for (const auto& [part, memory] : state.ownership.parts)
-    on_write_settled(state, part, now, effects);
+  for (const auto& [service_zone, zone_state] : state.ownership.service_zones)
+    on_write_settled(state, service_zone, now, effects);
 }
 
 }  // namespace
@@ -30,16 +30,16 @@
     for (auto& [server, front] : state.ownership.fronts)
       discount_pause(front, state.pause);
   }
-  note_silence(state, now);
+  mark_unconfirmed_fronts(state, now);
   if (!concerns_ownership(event)) return;
   if (const auto* reply = std::get_if<GrantReplied>(&event))
     on_grant_reply(state, *reply, now, effects);
   if (const auto* answer = std::get_if<StoreAnswered>(&event))
-    take_history_answer(state, *answer, now);
+    on_history_read(state, *answer, now);
   confirm_fronts(state, event, now, effects);
   sync_fronts(state, now, effects);
   if (!state.writer.settled.empty()) settle_writes(state, now, effects);
-  drive_fronts(state, now, effects);
+  update_fronts(state, now, effects);
   if (std::holds_alternative<Tick>(event)) coordinate(state, now, effects);
 }
 
--- a/src/core/ownership/ownership.h
+++ b/src/core/ownership/ownership.h
@@ -23,43 +23,45 @@
 SlotId slot_of(const Key& key, std::uint32_t key_slots);
 
 enum class SendPermission : std::uint8_t {
-  kSend,  ///< The server holds the key's slot under a grant in force.
-  kHold,  ///< Not now; it may be allowed soon (grant under way, or a move not
-          ///< finished).
+  kSend,      ///< The server holds the key's slot under a grant in force.
+  kHold,      ///< Not now; it may be allowed soon (no grant confirmed yet, or a
+              ///< move in progress).
   kNotFront,  ///< This daemon is not the front of the key's owner.
 };
 
 struct SendCheck {
   SendPermission permission = SendPermission::kNotFront;
-  Epoch epoch;  ///< To be sent with the request, when allowed.
+  Epoch epoch;  ///< To be sent with the request if it is allowed.
   FrontEpoch front_epoch;
 };
 
-/// Asked by the request path of the front of `server` just before a request is
-/// sent.
+/// Whether a request may be sent to `server`. Called by the request path of the
+/// server's front just before sending.
 SendCheck check_send(const core::State& state, const ServerName& server,
                      SlotId slot, const Key& key, Now now);
 
-/// Servers of which this daemon is the front now.
+/// Servers of which this daemon is currently the front.
 std::vector<ServerName> fronted_servers(const core::State& state);
 
 /// Reports of this daemon's fronts for the next heartbeat.
 std::vector<FrontReport> front_reports(const core::State& state, Now now);
 
-/// Orders a move from this zone's coordinator; repeats are harmless. The result
-/// is "waiting" until the move is in the store, "moving" from then on, and
-/// "done" once the target owns it. Errors: kNotFound and kInvalid for a wrong
-/// order, kConflict if another move of the unit came first, kRefused if the
-/// target is not usable, kUnavailable if this daemon cannot decide now.
+/// Orders a move from this daemon as the zone's coordinator; idempotent. The
+/// result is "waiting" until the move is in the store, "moving" from then on,
+/// and "done" once the target owns the unit. Errors: kNotFound and kInvalid for
+/// an invalid order, kConflict if another move of the unit was ordered first,
+/// kRefused if the target is not usable, kUnavailable if this daemon cannot
+/// decide at present.
 Result<std::string> order_move(core::State& state, const MoveCommand& move,
                                Now now, Effects& effects);
 
-/// Slots and carved-out keys of a service in a zone that still have an owner or
-/// are on their way.
+/// Number of a service's slots and carved-out keys in a zone that are not
+/// closed.
 std::uint64_t owned_units(const core::State& state, const ServiceName& service,
                           const ZoneName& zone);
 
-/// Who owned what, when, as this zone's coordinator knows it.
+/// Ownership history of a service in a zone: the coordinator's copy if this
+/// daemon has it, else the stored one as cached.
 std::vector<OwnershipSpan> history(const core::State& state,
                                    const ServiceName& service,
                                    const ZoneName& zone);
--- a/src/core/ownership/placement.cc
+++ b/src/core/ownership/placement.cc
@@ -27,89 +27,96 @@
   return totals;
 }
 
-double level(const Totals& totals, const ServerLoad& server, double rate) {
+double relative_load(const Totals& totals, const ServerLoad& server,
+                     double rate) {
   return rate / server.capacity * totals.capacity / totals.rate;
 }
 
-/// A server's part of the imbalance.
-double deviation(const Totals& totals, const ServerLoad& server, double rate) {
-  double off = level(totals, server, rate) - 1;
-  return server.capacity / totals.capacity * off * off;
+/// A server's contribution to the imbalance.
+double imbalance_share(const Totals& totals, const ServerLoad& server,
+                       double rate) {
+  double excess = relative_load(totals, server, rate) - 1;
+  return server.capacity / totals.capacity * excess * excess;
 }
 
-/// Noise of a server's level, from the number of requests seen in the window.
-double noise(const Totals& totals, const ServerLoad& server) {
+/// Noise of a server's relative load, given the number of requests measured in
+/// the rate window.
+double load_noise(const Totals& totals, const ServerLoad& server) {
   double window = std::chrono::duration<double>(config::kRateWindow).count();
   double rate_noise = std::sqrt(std::max(server.rate, 1 / window) / window);
-  return kNoiseDeviations * level(totals, server, rate_noise);
+  return kNoiseDeviations * relative_load(totals, server, rate_noise);
 }
 
-struct Candidate {
+struct CandidateMove {
   std::size_t from = 0;
   std::size_t unit = 0;
   std::size_t to = 0;
   double gain = 0;
 };
 
-/// Price of moving a unit, in units of the imbalance measure.
+/// Cost of moving a unit, in units of the imbalance measure.
 double move_cost(const UnitLoad& load, const PlacementWeights& weights) {
-  double price =
+  double unit_cost =
       load.unit.key.empty() ? config::kSlotMoveCost : config::kKeyMoveCost;
-  return price * weights.churn + config::kSlotMoveCost * weights.unavailable;
+  return unit_cost * weights.churn +
+         config::kSlotMoveCost * weights.unavailable;
 }
 
-Candidate best_move(const LoadSummary& summary, const Totals& totals,
-                    const PlacementWeights& weights, std::size_t from) {
+CandidateMove best_move(const LoadSummary& summary, const Totals& totals,
+                        const PlacementWeights& weights, std::size_t from) {
   const ServerLoad& source = summary.servers[from];
-  Candidate best{.from = from};
+  CandidateMove best{.from = from};
   for (std::size_t u = 0; u < source.movable.size(); ++u) {
     const UnitLoad& load = source.movable[u];
-    double relief = deviation(totals, source, source.rate) -
-                    deviation(totals, source, source.rate - load.rate);
+    double source_gain =
+        imbalance_share(totals, source, source.rate) -
+        imbalance_share(totals, source, source.rate - load.rate);
     double cost = move_cost(load, weights);
     for (std::size_t to = 0; to < summary.servers.size(); ++to) {
       if (to == from) continue;
       const ServerLoad& target = summary.servers[to];
-      double burden = deviation(totals, target, target.rate + load.rate) -
-                      deviation(totals, target, target.rate);
-      double gain = weights.imbalance * (relief - burden) - cost;
+      double target_cost =
+          imbalance_share(totals, target, target.rate + load.rate) -
+          imbalance_share(totals, target, target.rate);
+      double gain = weights.imbalance * (source_gain - target_cost) - cost;
       if (gain > best.gain) best = {from, u, to, gain};
     }
   }
   return best;
 }
 
-std::size_t highest(const LoadSummary& summary, const Totals& totals) {
-  auto by_level = [&](const ServerLoad& a, const ServerLoad& b) {
-    return level(totals, a, a.rate) < level(totals, b, b.rate);
+std::size_t most_loaded_server(const LoadSummary& summary,
+                               const Totals& totals) {
+  auto by_relative_load = [&](const ServerLoad& a, const ServerLoad& b) {
+    return relative_load(totals, a, a.rate) < relative_load(totals, b, b.rate);
   };
   return static_cast<std::size_t>(std::max_element(summary.servers.begin(),
                                                    summary.servers.end(),
-                                                   by_level) -
+                                                   by_relative_load) -
                                   summary.servers.begin());
 }
 
-bool out_of_bounds(const LoadSummary& summary, const Totals& totals) {
+bool is_out_of_bounds(const LoadSummary& summary, const Totals& totals) {
   return std::any_of(summary.servers.begin(), summary.servers.end(),
                      [&](const ServerLoad& server) {
-                       double at = level(totals, server, server.rate);
-                       double slack = noise(totals, server);
-                       return at > config::kOverloadStartRatio + slack ||
-                              at < config::kUnderloadRatio - slack;
+                       double load = relative_load(totals, server, server.rate);
+                       double margin = load_noise(totals, server);
+                       return load > config::kOverloadStartRatio + margin ||
+                              load < config::kUnderloadRatio - margin;
                      });
 }
 
-bool within_target(const LoadSummary& summary, const Totals& totals) {
+bool is_within_target(const LoadSummary& summary, const Totals& totals) {
   return std::all_of(summary.servers.begin(), summary.servers.end(),
                      [&](const ServerLoad& server) {
-                       double at = level(totals, server, server.rate);
-                       return at <= config::kOverloadStopRatio &&
-                              at >= 2 - config::kOverloadStopRatio -
-                                        (1 - config::kUnderloadRatio) / 2;
+                       double load = relative_load(totals, server, server.rate);
+                       return load <= config::kOverloadStopRatio &&
+                              load >= 2 - config::kOverloadStopRatio -
+                                          (1 - config::kUnderloadRatio) / 2;
                      });
 }
 
-PlannedMove carry_out(LoadSummary& summary, const Candidate& move) {
+PlannedMove apply_move(LoadSummary& summary, const CandidateMove& move) {
   ServerLoad& source = summary.servers[move.from];
   ServerLoad& target = summary.servers[move.to];
   UnitLoad load = source.movable[move.unit];
@@ -127,7 +134,7 @@
   if (totals.rate <= 0) return 0;
   double sum = 0;
   for (const ServerLoad& server : summary.servers)
-    sum += deviation(totals, server, server.rate);
+    sum += imbalance_share(totals, server, server.rate);
   return sum;
 }
 
@@ -137,13 +144,13 @@
   std::vector<PlannedMove> moves;
   Totals totals = totals_of(summary);
   if (summary.servers.size() < 2 || totals.rate <= 0) return moves;
-  if (!out_of_bounds(summary, totals)) return moves;
+  if (!is_out_of_bounds(summary, totals)) return moves;
   LoadSummary planned = summary;
-  while (moves.size() < budget && !within_target(planned, totals)) {
-    Candidate move =
-        best_move(planned, totals, weights, highest(planned, totals));
+  while (moves.size() < budget && !is_within_target(planned, totals)) {
+    CandidateMove move = best_move(planned, totals, weights,
+                                   most_loaded_server(planned, totals));
     if (move.gain <= 0) break;
-    moves.push_back(carry_out(planned, move));
+    moves.push_back(apply_move(planned, move));
   }
   return moves;
 }
--- a/src/core/ownership/placement.h
+++ b/src/core/ownership/placement.h
@@ -8,8 +8,8 @@
 #include "eelgrasspin/declarations.h"
 #include "eelgrasspin/ids.h"
 
-/// The placement policy: from a summary of load to a list of moves, without
-/// state.
+/// The placement policy: computes a list of moves from a load summary, without
+/// keeping state.
 namespace eelgrasspin::core::ownership {
 
 struct UnitLoad {
@@ -19,14 +19,15 @@
 
 struct ServerLoad {
   ServerName server;
-  double capacity = 1;  ///< Relative; already reduced during a cold start.
-  double rate = 0;      ///< Requests per second, of all its units.
-  /// Units that may be moved; a key listed here is not counted in its slot.
+  double capacity = 1;  ///< Relative; reduced during a cold start.
+  double rate = 0;      ///< Requests per second, over all its units.
+  /// Units that may be moved. The rate of a key listed here is not included in
+  /// that of its slot.
   std::vector<UnitLoad> movable;
 };
 
 struct LoadSummary {
-  std::vector<ServerLoad> servers;  ///< Usable ones only.
+  std::vector<ServerLoad> servers;  ///< Usable servers only.
 };
 
 struct PlannedMove {
@@ -37,13 +38,14 @@
   bool operator==(const PlannedMove&) const = default;
 };
 
-/// Weighted imbalance: the mean over capacity of (level - 1)^2, where a
-/// server's level is its load per capacity against the mean. 0 is even.
+/// Capacity-weighted mean of (relative load - 1)^2, where a server's relative
+/// load is its load per capacity divided by the mean load per capacity. 0 for a
+/// balanced load.
 double imbalance(const LoadSummary& summary);
 
-/// Moves that lower the weighted sum of imbalance, churn and unavailable time,
-/// best first, at most `budget`. Empty while no server's level is out of
-/// bounds by more than the noise of its measured rate.
+/// Moves that reduce the weighted sum of imbalance, churn and unavailable time,
+/// best first, at most `budget`. Empty while no server's relative load is out
+/// of bounds by more than the noise of its measured rate.
 std::vector<PlannedMove> plan(const LoadSummary& summary,
                               const PlacementWeights& weights,
                               std::size_t budget);
--- a/src/core/ownership/placement_orders.cc
+++ b/src/core/ownership/placement_orders.cc
@@ -9,68 +9,72 @@
 namespace eelgrasspin::core::ownership {
 namespace {
 
-/// Share of the mean rate of a unit that each unit counts for besides what was
-/// measured, so that servers without traffic still share the units.
-constexpr double kBaseShare = 0.1;
-constexpr double kLeastBaseRate = 0.001;
-/// Part of its capacity that a server has at the start of its ramp.
-constexpr double kLeastRamp = 0.1;
-/// Seconds' worth of moves that can be saved up.
-constexpr double kBudgetSeconds = 15;
+/// Added to the measured rate of each slot, as a fraction of the mean rate of a
+/// unit, so that slots without traffic are spread over the servers, too.
+constexpr double kBaseRateFraction = 0.1;
+constexpr double kMinBaseRequestsPerSecond = 0.001;
+/// Fraction of its capacity that a server has at the start of its cold-start
+/// ramp.
+constexpr double kMinRampFraction = 0.1;
+/// Seconds for which unused move budget accumulates.
+constexpr double kMoveBudgetSeconds = 15;
 
 double seconds_of(Duration d) {
   return std::chrono::duration<double>(d).count();
 }
 
-double ramp(PlacementMemory& memory, const ServerName& server, Now now) {
-  auto [it, fresh] = memory.usable_since.emplace(server, now.mono);
-  double passed =
+double ramp_fraction(PlacementState& placement, const ServerName& server,
+                     Now now) {
+  auto [it, inserted] = placement.usable_since.emplace(server, now.mono);
+  double elapsed =
       seconds_of(now.mono - it->second) / seconds_of(config::kColdStartRamp);
-  return std::clamp(passed, kLeastRamp, 1.0);
+  return std::clamp(elapsed, kMinRampFraction, 1.0);
 }
 
-bool is_resting(const PlacementMemory& memory, const Unit& unit, Now now) {
-  auto it = memory.moved.find(unit);
-  return it != memory.moved.end() &&
+bool is_cooling_down(const PlacementState& placement, const Unit& unit,
+                     Now now) {
+  auto it = placement.last_moved.find(unit);
+  return it != placement.last_moved.end() &&
          now.mono - it->second < config::kMoveCooldown;
 }
 
-/// Rates of a server's units: reported ones as they are, the rest of its rate
-/// spread evenly.
+/// Rates of a server's units: reported rates as they are, the remaining rate
+/// spread evenly over the other units.
 std::vector<UnitLoad> unit_loads(const MapEdit& edit, const ServerName& server,
                                  const FrontReport& report,
                                  const std::vector<SlotGrant>& owned) {
-  std::map<Unit, double> reported;
-  double listed = 0;
+  std::map<Unit, double> reported_slots;
+  double reported_rate = 0;
   for (const auto& [slot, rate] : report.slot_rates) {
-    reported[{slot, Key()}] += rate;
-    listed += rate;
+    reported_slots[{slot, Key()}] += rate;
+    reported_rate += rate;
   }
   std::vector<UnitLoad> loads;
   for (const HotKey& hot : report.hot_keys) {
-    Unit unit{slot_of_key(edit.state.cache, edit.part.service, hot.key),
+    Unit unit{slot_of_key(edit.state.cache, edit.service_zone.service, hot.key),
               hot.key};
-    auto slot = reported.find({unit.slot, Key()});
-    bool carved = latest(edit).overrides.contains(hot.key);
-    if (!carved && slot != reported.end())
+    auto slot = reported_slots.find({unit.slot, Key()});
+    bool carved_out = latest_map(edit).overrides.contains(hot.key);
+    if (!carved_out && slot != reported_slots.end())
       slot->second = std::max(0.0, slot->second - hot.rate);
-    if (carved) continue;
+    if (carved_out) continue;
     loads.push_back({unit, hot.rate});
   }
   std::map<Key, double> hot_rates;
   for (const HotKey& hot : report.hot_keys) hot_rates[hot.key] = hot.rate;
-  auto unlisted =
-      static_cast<double>(owned.size()) - static_cast<double>(reported.size());
-  double rest = std::max(0.0, report.requests_per_second - listed) /
-                std::max(1.0, unlisted);
+  auto unreported_units = static_cast<double>(owned.size()) -
+                          static_cast<double>(reported_slots.size());
+  double remaining_rate =
+      std::max(0.0, report.requests_per_second - reported_rate) /
+      std::max(1.0, unreported_units);
   for (const SlotGrant& grant : owned) {
     Unit unit{grant.slot, grant.key};
     auto hot = hot_rates.find(grant.key);
-    auto slot = reported.find(unit);
-    double rate = rest;
+    auto slot = reported_slots.find(unit);
+    double rate = remaining_rate;
     if (!grant.key.empty()) {
       rate = hot == hot_rates.end() ? 0 : hot->second;
-    } else if (slot != reported.end()) {
+    } else if (slot != reported_slots.end()) {
       rate = slot->second;
     }
     loads.push_back({unit, rate});
@@ -79,19 +83,19 @@
   return loads;
 }
 
-LoadSummary summarize(MapEdit& edit, PlacementMemory& memory) {
+LoadSummary summarize_load(MapEdit& edit, PlacementState& placement) {
   LoadSummary summary;
   double rate = 0;
   double units = 0;
   for (const auto& [server, view] : edit.servers) {
     if (!is_usable(view) || view.report == nullptr ||
         !view.report->holds_grant) {
-      memory.usable_since.erase(server);
+      placement.usable_since.erase(server);
       continue;
     }
     ServerLoad load{.server = server,
                     .capacity = view.declared->concurrency *
-                                ramp(memory, server, edit.now)};
+                                ramp_fraction(placement, server, edit.now)};
     auto owned = edit.index.owned.find(server);
     if (owned != edit.index.owned.end()) {
       load.movable = unit_loads(edit, server, *view.report, owned->second);
@@ -100,49 +104,51 @@
     }
     summary.servers.push_back(std::move(load));
   }
-  double base =
-      std::max(kLeastBaseRate, kBaseShare * rate / std::max(1.0, units));
+  double base_rate = std::max(kMinBaseRequestsPerSecond,
+                              kBaseRateFraction * rate / std::max(1.0, units));
   for (ServerLoad& server : summary.servers) {
     for (UnitLoad& load : server.movable) {
-      load.rate += load.unit.key.empty() ? base : 0;
+      load.rate += load.unit.key.empty() ? base_rate : 0;
       server.rate += load.rate;
     }
     std::erase_if(server.movable, [&](const UnitLoad& load) {
-      return is_resting(memory, load.unit, edit.now);
+      return is_cooling_down(placement, load.unit, edit.now);
     });
   }
   return summary;
 }
 
-void refill(PlacementMemory& memory, std::uint32_t moves_per_minute, Now now) {
+void refill_budget(PlacementState& placement, std::uint32_t moves_per_minute,
+                   Now now) {
   double per_second = moves_per_minute / 60.0;
-  double passed =
-      memory.last_run.has_value() ? seconds_of(now.mono - *memory.last_run) : 0;
-  memory.budget = std::min(memory.budget + per_second * passed,
-                           per_second * kBudgetSeconds);
-  memory.last_run = now.mono;
+  double elapsed = placement.last_run.has_value()
+                       ? seconds_of(now.mono - *placement.last_run)
+                       : 0;
+  placement.budget = std::min(placement.budget + per_second * elapsed,
+                              per_second * kMoveBudgetSeconds);
+  placement.last_run = now.mono;
 }
 
-/// Sends keys that are no longer busy back to their slots.
-void merge_cold_keys(MapEdit& edit, PlacementMemory& memory,
+/// Orders the merge of keys that are no longer busy into their slots.
+void merge_cold_keys(MapEdit& edit, PlacementState& placement,
                      std::map<Unit, MoveOrder>& orders) {
   for (const auto& [server, view] : edit.servers) {
     if (view.report == nullptr) continue;
     for (const HotKey& hot : view.report->hot_keys)
-      memory.last_hot[hot.key] = edit.now.mono;
+      placement.last_hot[hot.key] = edit.now.mono;
   }
-  for (const auto& [key, record] : latest(edit).overrides) {
+  for (const auto& [key, record] : latest_map(edit).overrides) {
     if (record.phase != SlotPhase::kOwned) continue;
-    auto [it, fresh] = memory.last_hot.emplace(key, edit.now.mono);
+    auto [it, inserted] = placement.last_hot.emplace(key, edit.now.mono);
     if (edit.now.mono - it->second < config::kColdKeyAfter) continue;
-    SlotId slot = slot_of_key(edit.state.cache, edit.part.service, key);
-    const SlotRecord* home = unit_record(latest(edit), {slot, Key()});
+    SlotId slot = slot_of_key(edit.state.cache, edit.service_zone.service, key);
+    const SlotRecord* home = unit_record(latest_map(edit), {slot, Key()});
     if (home == nullptr || home->phase != SlotPhase::kOwned) continue;
     orders.emplace(Unit{slot, key},
                    MoveOrder{.target = home->owner, .cause = "key is cold"});
   }
-  std::erase_if(memory.last_hot, [&](const auto& entry) {
-    return !latest(edit).overrides.contains(entry.first) &&
+  std::erase_if(placement.last_hot, [&](const auto& entry) {
+    return !latest_map(edit).overrides.contains(entry.first) &&
            edit.now.mono - entry.second > config::kColdKeyAfter;
   });
 }
@@ -150,28 +156,29 @@
 }  // namespace
 
 void order_placement(MapEdit& edit) {
-  PartState& part = edit.state.ownership.parts[edit.part];
-  PlacementMemory& memory = part.placement;
-  if (memory.last_run.has_value() &&
-      edit.now.mono - *memory.last_run < config::kPlacementInterval)
+  ServiceZoneState& zone_state =
+      edit.state.ownership.service_zones[edit.service_zone];
+  PlacementState& placement = zone_state.placement;
+  if (placement.last_run.has_value() &&
+      edit.now.mono - *placement.last_run < config::kPlacementInterval)
     return;
   const ServiceDeclaration* service =
-      service_declaration(edit.state.cache, edit.part.service);
+      service_declaration(edit.state.cache, edit.service_zone.service);
   if (service == nullptr) return;
-  refill(memory, service->weights.moves_per_minute, edit.now);
-  std::erase_if(memory.moved, [&](const auto& entry) {
+  refill_budget(placement, service->weights.moves_per_minute, edit.now);
+  std::erase_if(placement.last_moved, [&](const auto& entry) {
     return edit.now.mono - entry.second > config::kMoveCooldown;
   });
-  merge_cold_keys(edit, memory, part.orders);
+  merge_cold_keys(edit, placement, zone_state.orders);
   if (!edit.index.unsettled.empty() || edit.next.has_value()) return;
-  LoadSummary summary = summarize(edit, memory);
-  std::vector<PlannedMove> moves =
-      plan(summary, service->weights, static_cast<std::size_t>(memory.budget));
+  LoadSummary summary = summarize_load(edit, placement);
+  std::vector<PlannedMove> moves = plan(
+      summary, service->weights, static_cast<std::size_t>(placement.budget));
   for (const PlannedMove& move : moves) {
-    part.orders.emplace(move.unit,
-                        MoveOrder{.target = move.to, .cause = "placement"});
-    memory.moved[move.unit] = edit.now.mono;
-    memory.budget -= 1;
+    zone_state.orders.emplace(
+        move.unit, MoveOrder{.target = move.to, .cause = "placement"});
+    placement.last_moved[move.unit] = edit.now.mono;
+    placement.budget -= 1;
   }
 }
 
--- a/src/core/ownership/placement_orders.h
+++ b/src/core/ownership/placement_orders.h
@@ -4,10 +4,11 @@
 #include "core/ownership/map_edit.h"
 #include "core/ownership/placement.h"
 
-/// Runs the placement policy for a part and orders the moves that it plans.
+/// Runs the placement policy for a service in a zone and orders the planned
+/// moves.
 namespace eelgrasspin::core::ownership {
 
-/// Runs the policy once each config::kPlacementInterval.
+/// Runs one placement round each config::kPlacementInterval.
 void order_placement(MapEdit& edit);
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/servers.cc
+++ b/src/core/ownership/servers.cc
@@ -60,7 +60,7 @@
     return owns_nothing(index, server) ? ServerStatus::kDrained
                                        : ServerStatus::kDraining;
   }
-  bool lost = is_grant_expired(view) && view.report->lapsed;
+  bool lost = is_unresponsive(view) && view.report->lapsed;
   if (lost) return ServerStatus::kLost;
   if (view.status == ServerStatus::kLost && !holds_grant(view))
     return ServerStatus::kLost;
@@ -69,24 +69,25 @@
 
 }  // namespace
 
-ServerViews view_servers(const core::State& state, const Part& part) {
+ServerViews view_servers(const core::State& state,
+                         const ServiceZone& service_zone) {
   ServerViews views;
   const Declarations* all = declarations(state.cache);
   if (all == nullptr) return views;
-  const ZoneRoster* zone_roster = roster(state.cache, part.zone);
+  const ZoneRoster* zone_roster = roster(state.cache, service_zone.zone);
   for (const ServerDeclaration* declared :
-       servers_of(*all, part.service, part.zone))
+       servers_of(*all, service_zone.service, service_zone.zone))
     views[declared->name] = view_server(state, zone_roster, *declared);
   return views;
 }
 
 bool is_usable(const ServerView& view) {
   return view.status == ServerStatus::kActive && !view.drain_ordered &&
-         !is_grant_expired(view);
+         !is_unresponsive(view);
 }
 
-bool is_grant_expired(const ServerView& view) {
-  return view.report != nullptr && view.report->grant_expired;
+bool is_unresponsive(const ServerView& view) {
+  return view.report != nullptr && view.report->silent;
 }
 
 bool is_leaving(const ServerView& view) {
@@ -98,20 +99,20 @@
   return !view.declared->checks_grants && view.status == ServerStatus::kLost;
 }
 
-std::vector<PlacementCandidate> usable_shares(const ServerViews& views,
-                                              const MapIndex* index) {
-  bool any_granted =
+std::vector<PlacementCandidate> usable_candidates(const ServerViews& views,
+                                                  const MapIndex* index) {
+  bool any_holds_grant =
       std::any_of(views.begin(), views.end(), [](const auto& entry) {
         return is_usable(entry.second) && holds_grant(entry.second);
       });
-  std::vector<PlacementCandidate> shares;
+  std::vector<PlacementCandidate> candidates;
   for (const auto& [server, view] : views) {
-    if (!is_usable(view) || (any_granted && !holds_grant(view))) continue;
+    if (!is_usable(view) || (any_holds_grant && !holds_grant(view))) continue;
     double load = index == nullptr ? 0 : unit_count(*index, server);
-    shares.push_back(
+    candidates.push_back(
         {server, std::max(1.0, 1.0 * view.declared->concurrency), load});
   }
-  return shares;
+  return candidates;
 }
 
 void update_statuses(core::State& state, const ServerViews& views,
--- a/src/core/ownership/servers.h
+++ b/src/core/ownership/servers.h
@@ -15,12 +15,12 @@
 struct State;
 }
 
-/// Backend servers of a part as its coordinator sees them.
+/// A service's backend servers in a zone as seen by the zone's coordinator.
 namespace eelgrasspin::core::ownership {
 
 struct ServerView {
   const ServerDeclaration* declared = nullptr;
-  const FrontReport* report = nullptr;  ///< Null until its front reports.
+  const FrontReport* report = nullptr;  ///< Null until its front has reported.
   ServerStatus status = ServerStatus::kActive;
   bool drain_ordered = false;
   bool drain_cancelled = false;
@@ -28,23 +28,27 @@
 
 using ServerViews = std::map<ServerName, ServerView>;
 
-ServerViews view_servers(const core::State& state, const Part& part);
+ServerViews view_servers(const core::State& state,
+                         const ServiceZone& service_zone);
 
-/// Whether slots may be given to it.
+/// Whether slots may be assigned to the server.
 bool is_usable(const ServerView& view);
-/// Whether it stopped answering, so that its slots should go to others.
-bool is_grant_expired(const ServerView& view);
-/// Whether its slots should go to others while it still serves.
+/// Whether the server has stopped answering, so that its slots are to be moved
+/// away.
+bool is_unresponsive(const ServerView& view);
+/// Whether the server's slots are to be moved away while it still serves.
 bool is_leaving(const ServerView& view);
-/// Whether the platform has ended it for good, known without its front.
+/// Whether the platform has ended the server for good, which is known without
+/// its front. Only for servers that do not check grants.
 bool is_gone(const ServerView& view);
 
-/// Shares of the usable servers, loaded with what the index says they own and
-/// what they are about to get. Servers that hold a grant are preferred.
-std::vector<PlacementCandidate> usable_shares(const ServerViews& views,
-                                              const MapIndex* index);
+/// The usable servers, with the number of units that they own or are about to
+/// get according to the index as their load. Only those that hold a grant if
+/// there are any.
+std::vector<PlacementCandidate> usable_candidates(const ServerViews& views,
+                                                  const MapIndex* index);
 
-/// Keeps the statuses on the roster in step with reports and drain plans.
+/// Requests roster statuses that match the reports and drain plans.
 void update_statuses(core::State& state, const ServerViews& views,
                      const MapIndex& index);
 
--- a/src/core/ownership/sketch.cc
+++ b/src/core/ownership/sketch.cc
@@ -3,10 +3,11 @@
 namespace eelgrasspin::core::ownership {
 namespace {
 
-/// Counts below this are forgotten when they decay.
-constexpr double kLeastCount = 0.01;
+/// Keys whose count decays below this are dropped.
+constexpr double kMinCount = 0.01;
 
-void raise(Sketch& sketch, const Key& key, SketchEntry& entry, double weight) {
+void increase_count(Sketch& sketch, const Key& key, SketchEntry& entry,
+                    double weight) {
   sketch.by_count.erase({entry.count, key});
   entry.count += weight;
   sketch.by_count.emplace(entry.count, key);
@@ -25,7 +26,7 @@
 void add_occurrence(Sketch& sketch, const Key& key, double weight) {
   auto it = sketch.entries.find(key);
   if (it != sketch.entries.end()) {
-    raise(sketch, key, it->second, weight);
+    increase_count(sketch, key, it->second, weight);
     return;
   }
   double error =
@@ -47,7 +48,7 @@
 void decay(Sketch& sketch, double factor) {
   sketch.by_count.clear();
   std::erase_if(sketch.entries, [factor](const auto& entry) {
-    return entry.second.count * factor < kLeastCount;
+    return entry.second.count * factor < kMinCount;
   });
   for (auto& [key, entry] : sketch.entries) {
     entry.count *= factor;
--- a/src/core/ownership/sketch.h
+++ b/src/core/ownership/sketch.h
@@ -10,18 +10,18 @@
 
 #include "eelgrasspin/ids.h"
 
-/// The busiest keys of a stream in bounded memory, by the space-saving
+/// The most frequent keys of a stream in bounded memory, by the Space-Saving
 /// algorithm of Metwally, Agrawal and El Abbadi. A count is never below the
-/// true one, and above it by at most its error.
+/// true one, and exceeds it by at most its error.
 namespace eelgrasspin::core::ownership {
 
 struct SketchEntry {
   double count = 0;
-  double error = 0;  ///< Count that it took over from the key it replaced.
+  double error = 0;  ///< Count inherited from the key that it replaced.
 };
 
 struct Sketch {
-  std::size_t capacity = 128;  ///< Keys kept.
+  std::size_t capacity = 128;  ///< Maximum number of keys.
   std::map<Key, SketchEntry> entries;
   std::set<std::pair<double, Key>> by_count;
 };
@@ -34,14 +34,14 @@
   bool operator==(const CountedKey&) const = default;
 };
 
-/// Counts one occurrence of a key.
+/// Adds an occurrence of a key, counted with `weight`.
 void add_occurrence(Sketch& sketch, const Key& key, double weight = 1);
 
 /// The `n` keys with the highest counts, highest first.
 std::vector<CountedKey> top_keys(const Sketch& sketch, std::size_t n);
 
-/// Multiplies all counts, so that old occurrences weigh less. `factor` is in
-/// (0, 1].
+/// Multiplies all counts by `factor`, in (0, 1], so that old occurrences weigh
+/// less.
 void decay(Sketch& sketch, double factor);
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/spread.cc
+++ b/src/core/ownership/spread.cc
@@ -5,15 +5,15 @@
 
 namespace eelgrasspin::core::ownership {
 
-ServerName place_on_least_loaded(std::vector<PlacementCandidate>& shares,
+ServerName place_on_least_loaded(std::vector<PlacementCandidate>& candidates,
                                  double load) {
   PlacementCandidate* best = nullptr;
-  double best_level = 0;
-  for (PlacementCandidate& share : shares) {
-    double level = (share.load + load) / share.capacity;
-    if (best == nullptr || level < best_level) {
-      best = &share;
-      best_level = level;
+  double best_load = 0;
+  for (PlacementCandidate& candidate : candidates) {
+    double load_per_capacity = (candidate.load + load) / candidate.capacity;
+    if (best == nullptr || load_per_capacity < best_load) {
+      best = &candidate;
+      best_load = load_per_capacity;
     }
   }
   if (best == nullptr) return ServerName();
@@ -21,20 +21,20 @@
   return best->server;
 }
 
-std::vector<std::size_t> split_evenly(std::size_t count,
-                                      const std::vector<double>& capacities) {
+std::vector<std::size_t> split_by_capacity(
+    std::size_t count, const std::vector<double>& capacities) {
   double total = std::accumulate(capacities.begin(), capacities.end(), 0.0);
-  std::vector<std::size_t> parts;
-  double passed = 0;
-  std::size_t given = 0;
+  std::vector<std::size_t> counts;
+  double cumulative = 0;
+  std::size_t assigned_before = 0;
   for (double capacity : capacities) {
-    passed += capacity;
-    auto upto = static_cast<std::size_t>(
-        std::lround(static_cast<double>(count) * passed / total));
-    parts.push_back(upto - given);
-    given = upto;
+    cumulative += capacity;
+    auto assigned_after = static_cast<std::size_t>(
+        std::lround(static_cast<double>(count) * cumulative / total));
+    counts.push_back(assigned_after - assigned_before);
+    assigned_before = assigned_after;
   }
-  return parts;
+  return counts;
 }
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/spread.h
+++ b/src/core/ownership/spread.h
@@ -6,7 +6,7 @@
 
 #include "eelgrasspin/ids.h"
 
-/// Shares units out over backend servers in proportion to their capacity.
+/// Distributes units over backend servers in proportion to their capacity.
 namespace eelgrasspin::core::ownership {
 
 struct PlacementCandidate {
@@ -15,15 +15,15 @@
   double load = 0;
 };
 
-/// The share with the least load for its capacity takes `load`. Empty name if
-/// there is none.
-ServerName place_on_least_loaded(std::vector<PlacementCandidate>& shares,
+/// Adds `load` to the candidate that has the least load per capacity with it,
+/// and returns its name; empty if there are no candidates.
+ServerName place_on_least_loaded(std::vector<PlacementCandidate>& candidates,
                                  double load);
 
 /// Splits `count` equal units in proportion to `capacities`; the result adds up
 /// to `count` unless there are no capacities.
-std::vector<std::size_t> split_evenly(std::size_t count,
-                                      const std::vector<double>& capacities);
+std::vector<std::size_t> split_by_capacity(
+    std::size_t count, const std::vector<double>& capacities);
 
 }  // namespace eelgrasspin::core::ownership
 
--- a/src/core/ownership/state.h
+++ b/src/core/ownership/state.h
@@ -19,37 +19,37 @@
 namespace eelgrasspin::core::ownership {
 
 /// A service in an availability zone.
-struct Part {
+struct ServiceZone {
   ServiceName service;
   ZoneName zone;
 
-  auto operator<=>(const Part&) const = default;
+  auto operator<=>(const ServiceZone&) const = default;
 };
 
-/// A unit that has no settled owner, with the map version that brought it
-/// there.
+/// A unit that is not settled on an owner, with the map version since which it
+/// has been in this state.
 struct UnsettledUnit {
   SlotRecord record;
-  Version since;
+  Version unsettled_since;
 };
 
-/// What an ownership map says, arranged for lookups. Rebuilt when the map or
+/// An index of an ownership map for lookups. Rebuilt when the ownership map or
 /// the zone map changes.
 struct MapIndex {
   Version map_version;
   Version zone_map_version;
-  std::map<ServerName, std::vector<SlotGrant>>
-      owned;  ///< Settled units by owner, in order.
+  /// Settled units by owner, in order.
+  std::map<ServerName, std::vector<SlotGrant>> owned;
   std::map<Unit, UnsettledUnit> unsettled;
-  std::vector<SlotId>
-      missing;  ///< Given to the zone by the zone map, and not in the map.
-  std::vector<SlotId>
-      foreign;  ///< In the map, and given to another zone by the zone map.
+  /// Assigned to this zone by the zone map, but missing from the ownership map.
+  std::vector<SlotId> missing_slots;
+  /// In the ownership map, but assigned to another zone by the zone map.
+  std::vector<SlotId> other_zone_slots;
   std::uint64_t closed_units = 0;
 };
 
-/// A move that an operator or the placement policy asked for, and that is not
-/// in the store yet.
+/// A move requested by an operator or by the placement policy that is not in
+/// the store yet.
 struct MoveOrder {
   ServerName target;
   ZoneName target_zone;  ///< Set for a move to another zone.
@@ -57,50 +57,54 @@
   std::string cause;
 };
 
-/// What the placement policy remembers between two runs.
-struct PlacementMemory {
+/// State that the placement policy keeps between two rounds.
+struct PlacementState {
   std::optional<TimePoint> last_run;
-  double budget = 0;                  ///< Moves it may still order now.
-  std::map<Unit, TimePoint> moved;    ///< Not to be moved again yet.
-  std::map<Key, TimePoint> last_hot;  ///< Of carved-out keys.
+  double budget = 0;                     ///< Moves that it may order now.
+  std::map<Unit, TimePoint> last_moved;  ///< Units in their cooldown.
+  std::map<Key, TimePoint> last_hot;     ///< When carved-out keys were
+                                         ///< last among the busiest.
   std::map<ServerName, TimePoint> usable_since;
 };
 
-/// The history of a part as its coordinator keeps it between two writes.
-struct HistoryMemory {
-  TermEpoch term;  ///< Coordinator term that it belongs to.
+/// The ownership history of a service in a zone, as its coordinator keeps it
+/// between two writes.
+struct HistoryState {
+  TermEpoch term;  ///< Coordinator term in which it was loaded.
   bool loaded = false;
-  std::optional<StoreOpId> reading;
-  TimePoint read_at;  ///< Not before, for the next read.
+  std::optional<StoreOpId> pending_read;
+  TimePoint next_read;  ///< Earliest time of the next read.
   OwnershipHistory draft;
-  Version seen_map;  ///< Ownership map that the draft includes.
+  Version
+      draft_map_version;  ///< Ownership map up to which the draft is current.
   bool dirty = false;
-  TimePoint write_at;  ///< Not before, for the next write.
+  TimePoint next_write;  ///< Earliest time of the next write.
 };
 
-/// What the coordinator of one part keeps in memory; all of it can be lost.
-struct PartState {
+/// What a coordinator keeps in memory for one service in its zone; nothing of
+/// it needs to survive the coordinator.
+struct ServiceZoneState {
   std::map<Unit, MoveOrder> orders;
-  std::vector<TimelineEvent>
-      announcements;  ///< Recorded when the pending write is confirmed.
+  /// Recorded when the pending write is confirmed.
+  std::vector<TimelineEvent> pending_events;
   std::uint64_t moves_started = 0;   ///< By the pending write.
   std::uint64_t moves_finished = 0;  ///< By the pending write.
   std::uint64_t recovered = 0;       ///< By the pending write.
-  PlacementMemory placement;
-  HistoryMemory history;
+  PlacementState placement;
+  HistoryState history;
 };
 
 struct State {
   std::map<ServerName, Front> fronts;
-  /// Fronts given up, with when; still reported as stopped.
+  /// Ended fronts with the time of their end; still reported as stopped.
   std::map<std::pair<ServerName, FrontEpoch>, TimePoint> former_fronts;
-  std::uint64_t seen_generation =
-      0;  ///< Of the cache, when `fronts` was made from it.
-  std::map<Part, MapIndex> indexes;
-  std::map<Part, PartState> parts;
+  /// Cache generation from which `fronts` was last updated.
+  std::uint64_t synced_generation = 0;
+  std::map<ServiceZone, MapIndex> indexes;
+  std::map<ServiceZone, ServiceZoneState> service_zones;
   TimePoint last_step;
-  std::optional<TimePoint>
-      store_heard;  ///< Last time that the store was known to answer.
+  /// Last time that the store was known to be reachable.
+  std::optional<TimePoint> last_store_answer;
 };
 
 }  // namespace eelgrasspin::core::ownership
--- a/src/core/ownership/zone_maps.cc
+++ b/src/core/ownership/zone_maps.cc
@@ -1,9 +1,10 @@
+#include "core/ownership/zone_maps.h"
+
 #include <algorithm>
 #include <utility>
 
 #include "core/ownership/maps.h"
 #include "core/ownership/spread.h"
-#include "core/ownership/zone_maps.h"
 #include "core/state.h"
 
 namespace eelgrasspin::core::ownership {
@@ -19,25 +20,26 @@
   return capacities;
 }
 
-ZoneMap first_zone_map(const Declarations& all,
-                       const ServiceDeclaration& service) {
+ZoneMap initial_zone_map(const Declarations& all,
+                         const ServiceDeclaration& service) {
   ZoneMap map{.service = service.name};
   std::vector<double> weights;
   for (const auto& [zone, capacity] : zone_capacities(all, service.name)) {
     map.zones.push_back(zone);
     weights.push_back(capacity);
   }
-  std::vector<std::size_t> counts = split_evenly(service.key_slots, weights);
+  std::vector<std::size_t> counts =
+      split_by_capacity(service.key_slots, weights);
   for (std::size_t i = 0; i < counts.size(); ++i)
     map.slots.insert(map.slots.end(), counts[i], static_cast<std::uint16_t>(i));
   map.epochs.assign(map.slots.size(), 1);
   return map;
 }
 
-void create(core::State& state, const ServiceName& service, Now now,
-            Effects& effects) {
+void create_zone_map(core::State& state, const ServiceName& service, Now now,
+                     Effects& effects) {
   const Declarations& all = *declarations(state.cache);
-  ZoneMap map = first_zone_map(all, all.services.at(service));
+  ZoneMap map = initial_zone_map(all, all.services.at(service));
   if (map.slots.empty()) return;
   map.write_id = new_write_id(state);
   start_write(state, zone_map_key(service), Version(0), std::move(map), now,
@@ -50,9 +52,9 @@
   return static_cast<std::uint16_t>(it - map.zones.begin());
 }
 
-void give_away(core::State& state, const Part& part, const ZoneMap& current,
-               Now now, Effects& effects) {
-  const MapIndex* index = map_index(state, part);
+void hand_over_slots(core::State& state, const ServiceZone& service_zone,
+                     const ZoneMap& current, Now now, Effects& effects) {
+  const MapIndex* index = map_index(state, service_zone);
   if (index == nullptr) return;
   ZoneMap next = current;
   bool changed = false;
@@ -67,22 +69,22 @@
   }
   if (!changed) return;
   next.write_id = new_write_id(state);
-  StoreKey key = zone_map_key(part.service);
+  StoreKey key = zone_map_key(service_zone.service);
   start_write(state, key, version_of(state.cache, key), std::move(next), now,
               effects);
 }
 
 }  // namespace
 
-void maintain_zone_map(core::State& state, const Part& part, Now now,
-                       Effects& effects) {
-  StoreKey key = zone_map_key(part.service);
+void maintain_zone_map(core::State& state, const ServiceZone& service_zone,
+                       Now now, Effects& effects) {
+  StoreKey key = zone_map_key(service_zone.service);
   if (write_pending(state, key)) return;
-  const ZoneMap* map = zone_map(state.cache, part.service);
+  const ZoneMap* map = zone_map(state.cache, service_zone.service);
   if (map != nullptr) {
-    give_away(state, part, *map, now, effects);
+    hand_over_slots(state, service_zone, *map, now, effects);
   } else if (version_of(state.cache, key) == Version(0)) {
-    create(state, part.service, now, effects);
+    create_zone_map(state, service_zone.service, now, effects);
   }
 }
 
--- a/src/core/ownership/zone_maps.h
+++ b/src/core/ownership/zone_maps.h
@@ -8,13 +8,13 @@
 struct State;
 }
 
-/// The zone map of a service: which availability zone decides on each slot.
+/// The zone map of a service: to which availability zone each slot is assigned.
 namespace eelgrasspin::core::ownership {
 
-/// Creates the zone map of a declared service if it is absent, and gives slots
-/// that this zone has handed over to their new zones.
-void maintain_zone_map(core::State& state, const Part& part, Now now,
-                       Effects& effects);
+/// Creates the zone map of a declared service if it is absent, and assigns
+/// slots that this zone has handed over to their target zones.
+void maintain_zone_map(core::State& state, const ServiceZone& service_zone,
+                       Now now, Effects& effects);
 
 }  // namespace eelgrasspin::core::ownership
 
