--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -19,8 +19,8 @@
       sync.last_answer && now.mono - *sync.last_answer < config::kStoreTimeout;
   if (sync.recorded_down || answered_recently) return;
   sync.recorded_down = true;
-  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.why}, now,
-         effects);
+  record(state, {.kind = TimelineKind::kStoreDown, .cause = failure.reason},
+         now, effects);
 }
 
 void update_store_status(core::State& state, const StoreAnswered& answer,
@@ -264,7 +264,7 @@
   ++state.counters[Counter::kDamagedRecords];
   record(state,
          {.kind = TimelineKind::kDamagedRecord,
-          .cause = std::get<DamagedRecord>(entry.record).why,
+          .cause = std::get<DamagedRecord>(entry.record).reason,
           .detail = entry.key.str()},
          now, effects);
   return applied;
