--- a/tests/membership_cluster.h
+++ b/tests/membership_cluster.h
@@ -12,7 +12,8 @@
 #include "core/membership/membership.h"
 #include "core/reducer.h"
 
-/// Several decision cores on virtual time, with a store that can be cut off.
+/// Several decision cores in virtual time, with a store that can be made
+/// unreachable.
 namespace eelgrasspin::core::membership {
 
 inline constexpr Duration kStoreDelay = milliseconds(2);
@@ -26,7 +27,7 @@
   bool paused = false;
   bool store_reachable = true;
   bool lose_write_answers = false;
-  std::deque<Event> waiting;  ///< While paused.
+  std::deque<Event> queued_events;  ///< While paused.
 };
 
 class Cluster {
@@ -43,7 +44,7 @@
     return node;
   }
 
-  /// Starts a daemon, or starts it again empty.
+  /// Starts a daemon, or restarts it with empty state.
   void start(const std::string& name) {
     Node& node = at(name);
     core::State fresh;
@@ -52,7 +53,7 @@
     node.state = std::move(fresh);
     node.running = true;
     node.paused = false;
-    node.waiting.clear();
+    node.queued_events.clear();
     deliver(node, Started{Incarnation(++last_incarnation_)});
   }
 
@@ -66,16 +67,16 @@
   void resume(const std::string& name) {
     Node& node = at(name);
     node.paused = false;
-    while (!node.waiting.empty()) {
-      Event event = std::move(node.waiting.front());
-      node.waiting.pop_front();
+    while (!node.queued_events.empty()) {
+      Event event = std::move(node.queued_events.front());
+      node.queued_events.pop_front();
       deliver(node, event);
     }
   }
 
   void stop(const std::string& name) { deliver(at(name), StopOrdered{}); }
 
-  /// Messages from one daemon to another are dropped.
+  /// Drops the messages from one daemon to another.
   void cut(const std::string& from, const std::string& to) {
     cuts_.insert({DaemonName(from), DaemonName(to)});
   }
@@ -86,7 +87,7 @@
       cut(other.str(), name);
     }
   }
-  void mend(const std::string& name) {
+  void reconnect(const std::string& name) {
     at(name).store_reachable = true;
     std::erase_if(cuts_, [&](const auto& link) {
       return link.first.str() == name || link.second.str() == name;
@@ -131,7 +132,7 @@
   }
 
   std::function<void()> after_step;
-  /// Decides on the loss of each message; null: none is lost.
+  /// Whether the next message is lost; if null, none is.
   std::function<bool()> loses_message;
   std::vector<VmEntry> vms;
   std::uint64_t reads = 0;
@@ -142,7 +143,7 @@
   struct Watch {
     DaemonName node;
     StoreWatch request;
-    Duration ends;
+    Duration ends_at;
   };
 
   void step() {
@@ -166,11 +167,11 @@
   void deliver(Node& node, const Event& event) {
     if (!node.running) return;
     if (node.paused) {
-      node.waiting.push_back(event);
+      node.queued_events.push_back(event);
       return;
     }
     Effects effects = reduce(node.state, event, now_at(node));
-    for (const Effect& effect : effects) run_effect(node, effect);
+    for (const Effect& effect : effects) apply_effect(node, effect);
   }
 
   void answer(Node& node, StoreOpId op, StoreResult result, Duration delay) {
@@ -181,7 +182,7 @@
     });
   }
 
-  bool unreachable(Node& node, StoreOpId op) {
+  bool fail_if_unreachable(Node& node, StoreOpId op) {
     if (node.store_reachable && store_up) return false;
     answer(node, op, StoreUnavailable{"no answer"}, config::kStoreTimeout);
     return true;
@@ -196,23 +197,23 @@
     return read;
   }
 
-  void run_effect(Node& node, const Effect& effect) {
+  void apply_effect(Node& node, const Effect& effect) {
     if (const auto* peer = std::get_if<SendPeer>(&effect)) send(node, *peer);
     if (const auto* list = std::get_if<StoreList>(&effect)) {
       ++reads;
-      if (!unreachable(node, list->op))
+      if (!fail_if_unreachable(node, list->op))
         answer(node, list->op, read_prefix(list->prefix, Version(0)),
                kStoreDelay);
     }
     if (const auto* write = std::get_if<StorePut>(&effect)) {
       ++writes;
-      if (!unreachable(node, write->op))
+      if (!fail_if_unreachable(node, write->op))
         after(kStoreDelay / 2,
-              [this, &node, put = *write] { take(node, put); });
+              [this, &node, put = *write] { apply_put(node, put); });
     }
     if (const auto* watch = std::get_if<StoreWatch>(&effect)) {
       ++reads;
-      if (unreachable(node, watch->op)) return;
+      if (fail_if_unreachable(node, watch->op)) return;
       watches_.push_back({node.state.self.name, *watch, now_ + watch->wait});
       answer_watches();
     }
@@ -233,7 +234,7 @@
     });
   }
 
-  void take(Node& node, const StorePut& put) {
+  void apply_put(Node& node, const StorePut& put) {
     StoreEntry& entry = values_[put.key];
     entry.key = put.key;
     if (entry.version != put.expected) {
@@ -262,7 +263,7 @@
     std::erase_if(watches_, [&](const Watch& watch) {
       Node& node = nodes_.at(watch.node);
       bool broken = !node.store_reachable || !store_up;
-      if (!broken && now_ < watch.ends) return false;
+      if (!broken && now_ < watch.ends_at) return false;
       StoreResult result = StoreRead{Version(revision_), {}};
       if (broken) result = StoreUnavailable{"broken"};
       answer(node, watch.request.op, std::move(result), kStoreDelay / 2);
--- a/tests/membership_cost_test.cc
+++ b/tests/membership_cost_test.cc
@@ -11,7 +11,7 @@
 
 constexpr int kIdleSeconds = 20;
 
-Declarations fleet(int zones, int servers_per_zone) {
+Declarations make_declarations(int zones, int servers_per_zone) {
   Declarations all;
   for (int z = 0; z < zones; ++z) {
     ZoneName zone("zone-" + std::to_string(z));
@@ -24,12 +24,12 @@
   return all;
 }
 
-/// Rates of an idle fleet, per second.
+/// Rates of an idle deployment, per second.
 struct Cost {
   double writes = 0;
   double reads = 0;
-  double member_messages =
-      0;  ///< Of the busiest daemon that is no coordinator.
+  /// Of the busiest daemon that is not a coordinator.
+  double member_messages = 0;
   double member_bytes = 0;
   double coordinator_messages = 0;
   double coordinator_bytes = 0;
@@ -37,7 +37,7 @@
 
 Cost idle_cost(int zones, int daemons_per_zone) {
   Cluster cluster;
-  Declarations declared = fleet(zones, 7);
+  Declarations declared = make_declarations(zones, 7);
   cluster.put(declarations_key(), DeclarationsRecord{.declarations = declared});
   for (int z = 0; z < zones; ++z) {
     std::string zone = "zone-" + std::to_string(z);
@@ -63,12 +63,12 @@
         !coordinated_zones(node.state, cluster.now_at(node)).empty();
     double messages = sent[name].first / kIdleSeconds;
     double bytes = sent[name].second / kIdleSeconds;
-    double& most =
+    double& max_messages =
         coordinator ? cost.coordinator_messages : cost.member_messages;
-    double& most_bytes =
+    double& max_bytes =
         coordinator ? cost.coordinator_bytes : cost.member_bytes;
-    most = std::max(most, messages);
-    most_bytes = std::max(most_bytes, bytes);
+    max_messages = std::max(max_messages, messages);
+    max_bytes = std::max(max_bytes, bytes);
   }
   std::cout << zones << " zones x " << daemons_per_zone << " daemons: store "
             << cost.writes << " writes/s, " << cost.reads << " reads/s; member "
@@ -103,16 +103,17 @@
   EXPECT_LE(many.reads, few.reads * 1.05);
 }
 
-/// "a" coordinates zone-0 and "b" is in the same region; then "a" meets a
-/// fault. Gives the longest time until "b" is the front of every server of
-/// zone-0, over several phases.
-Duration longest_takeover(const std::string& what, const std::string& zone_of_b,
+/// "a" coordinates zone-0 and "b" is in the same region; then a fault is
+/// injected into "a". Returns the longest time until "b" is the front of every
+/// server of zone-0, over several phases of the fault.
+Duration longest_takeover(const std::string& label,
+                          const std::string& zone_of_b,
                           const std::function<void(Cluster&)>& fault) {
   Duration longest{0};
   for (int phase = 0; phase < 10; ++phase) {
     Cluster cluster;
     cluster.put(declarations_key(),
-                DeclarationsRecord{.declarations = fleet(2, 7)});
+                DeclarationsRecord{.declarations = make_declarations(2, 7)});
     cluster.add("a", "zone-0", "region-0");
     cluster.add("b", zone_of_b, "region-0");
     cluster.start("a");
@@ -130,7 +131,7 @@
       cluster.run(milliseconds(10));
     longest = std::max(longest, cluster.now() - start);
   }
-  std::cout << what << ": " << to_ms(longest) << " ms\n";
+  std::cout << label << ": " << to_ms(longest) << " ms\n";
   return longest;
 }
 
--- a/tests/membership_property_test.cc
+++ b/tests/membership_property_test.cc
@@ -22,14 +22,15 @@
 struct Step {
   Fault fault = Fault::kNone;
   int node = 0;
-  int tenths = 0;  ///< How long it lasts, in 100 ms.
+  int duration_tenths = 0;  ///< Duration of the fault, in 100 ms.
 };
 
 void showValue(const Step& step, std::ostream& out) {  // NOLINT: RapidCheck's
-  out << static_cast<int>(step.fault) << '@' << step.node << '*' << step.tenths;
+  out << static_cast<int>(step.fault) << '@' << step.node << '*'
+      << step.duration_tenths;
 }
 
-rc::Gen<Step> any_step() {
+rc::Gen<Step> step_generator() {
   return rc::gen::build<Step>(
       rc::gen::set(
           &Step::fault,
@@ -37,7 +38,7 @@
                            Fault::kLostWriteAnswers, Fault::kMessageLoss,
                            Fault::kIsolation, Fault::kRestart)),
       rc::gen::set(&Step::node, rc::gen::inRange(0, 4)),
-      rc::gen::set(&Step::tenths, rc::gen::inRange(1, 40)));
+      rc::gen::set(&Step::duration_tenths, rc::gen::inRange(1, 40)));
 }
 
 const std::vector<std::string> kNames{"a", "b", "c", "m"};
@@ -67,10 +68,10 @@
       cluster.kill(name);
       break;
   }
-  cluster.run(milliseconds(100) * step.tenths);
+  cluster.run(milliseconds(100) * step.duration_tenths);
   cluster.loses_message = nullptr;
   node.lose_write_answers = false;
-  cluster.mend(name);
+  cluster.reconnect(name);
   if (node.paused) cluster.resume(name);
   if (!node.running) cluster.start(name);
 }
@@ -88,35 +89,37 @@
 
 const std::vector<std::string> kZones{"gongoni", "marereni"};
 
-/// Follows who believes what during a schedule of faults.
+/// Counts the daemons that act as coordinator of a zone or as front of a server
+/// at the same time during a schedule of faults.
 struct Observer {
   explicit Observer(Cluster& observed) : cluster(observed) {}
 
-  void look() {
+  void check() {
     for (const std::string& zone : kZones)
-      most_coordinators =
-          std::max(most_coordinators, cluster.coordinators_of(zone).size());
-    for (const std::string& zone : kZones) look_at_fronts(zone);
+      max_coordinators =
+          std::max(max_coordinators, cluster.coordinators_of(zone).size());
+    for (const std::string& zone : kZones) check_fronts(zone);
   }
 
-  /// A front that could still have a grant in force counts as acting.
-  void look_at_fronts(const std::string& zone) {
+  /// A front whose grant could still be in force counts as active.
+  void check_fronts(const std::string& zone) {
     ServerName server("server-" + zone);
-    std::size_t acting = 0;
+    std::size_t active = 0;
     for (auto& [name, node] : cluster.nodes()) {
       auto key = std::pair(server, name);
-      if (!node.running || has_stopped(node, server)) acted.erase(key);
-      if (node.running && acts(node, server, zone)) acted[key] = cluster.now();
-      auto last = acted.find(key);
-      bool in_force = last != acted.end() &&
+      if (!node.running || has_stopped(node, server)) last_active.erase(key);
+      if (node.running && is_active(node, server, zone))
+        last_active[key] = cluster.now();
+      auto last = last_active.find(key);
+      bool in_force = last != last_active.end() &&
                       cluster.now() - last->second <= config::kGrantTerm;
-      acting += in_force ? 1 : 0;
+      active += in_force ? 1 : 0;
     }
-    most_fronts = std::max(most_fronts, acting);
+    max_fronts = std::max(max_fronts, active);
   }
 
-  /// Whether the daemon reports, as to its coordinator, that it gave the front
-  /// up for good. Nothing of it can be sent after that.
+  /// Whether the daemon reports, as to its coordinator, that its front role has
+  /// ended for good. It sends nothing to the server after that.
   bool has_stopped(const Node& node, const ServerName& server) const {
     bool stopped = false;
     for (const FrontReport& report :
@@ -128,11 +131,12 @@
     return stopped;
   }
 
-  bool acts(const Node& node, const ServerName& server,
-            const std::string& zone) const {
-    const ZoneRoster* known = roster(node.state.cache, ZoneName(zone));
-    if (known == nullptr || !known->fronts.contains(server)) return false;
-    const FrontAssignment& front = known->fronts.at(server);
+  bool is_active(const Node& node, const ServerName& server,
+                 const std::string& zone) const {
+    const ZoneRoster* zone_roster = roster(node.state.cache, ZoneName(zone));
+    if (zone_roster == nullptr || !zone_roster->fronts.contains(server))
+      return false;
+    const FrontAssignment& front = zone_roster->fronts.at(server);
     return front.daemon == node.state.self.name &&
            front.incarnation == node.state.self.incarnation &&
            !front.awaiting_predecessor &&
@@ -140,13 +144,13 @@
   }
 
   Cluster& cluster;
-  std::map<std::pair<ServerName, DaemonName>, Duration> acted;
-  std::size_t most_coordinators = 0;
-  std::size_t most_fronts = 0;
+  std::map<std::pair<ServerName, DaemonName>, Duration> last_active;
+  std::size_t max_coordinators = 0;
+  std::size_t max_fronts = 0;
 };
 
-Observer observe(Cluster& cluster, const std::vector<Step>& steps,
-                 const Guards& guards) {
+Observer run_schedule(Cluster& cluster, const std::vector<Step>& steps,
+                      const Guards& guards) {
   std::mt19937 random(1);
   cluster.put(declarations_key(),
               DeclarationsRecord{.declarations = two_zones()});
@@ -158,7 +162,7 @@
     rate += 0.04 / 3;
   }
   Observer observer(cluster);
-  cluster.after_step = [&observer] { observer.look(); };
+  cluster.after_step = [&observer] { observer.check(); };
   cluster.start_all();
   for (const Step& step : steps) run_step(cluster, step, random);
   cluster.after_step = nullptr;
@@ -167,17 +171,17 @@
 
 TEST(MembershipPropertyTest, OneCoordinatorOfAZoneAndOneFrontOfAServer) {
   bool holds = rc::check("one coordinator, one front", [] {
-    auto steps = *rc::gen::container<std::vector<Step>>(any_step());
+    auto steps = *rc::gen::container<std::vector<Step>>(step_generator());
     Cluster cluster;
-    Observer seen = observe(cluster, steps, Guards{});
-    RC_ASSERT(seen.most_coordinators <= 1U);
-    RC_ASSERT(seen.most_fronts <= 1U);
+    Observer seen = run_schedule(cluster, steps, Guards{});
+    RC_ASSERT(seen.max_coordinators <= 1U);
+    RC_ASSERT(seen.max_fronts <= 1U);
   });
   EXPECT_TRUE(holds);
 }
 
-/// Runs drawn schedules until `found` is true of one.
-bool search(const Guards& guards, bool (*found)(const Observer&)) {
+/// Runs random schedules until `matches` is true for one.
+bool find_schedule(const Guards& guards, bool (*matches)(const Observer&)) {
   constexpr int kRuns = 100;
   constexpr int kSteps = 20;
   std::mt19937 random(7);
@@ -190,7 +194,7 @@
                        static_cast<int>(1 + random() % 39)});
     }
     Cluster cluster;
-    if (found(observe(cluster, steps, guards))) return true;
+    if (matches(run_schedule(cluster, steps, guards))) return true;
   }
   return false;
 }
@@ -198,15 +202,15 @@
 TEST(MembershipPropertyTest, WithoutTheLeaseWaitTwoCoordinatorsAreFound) {
   Guards guards;
   guards.lease_wait = false;
-  EXPECT_TRUE(search(
-      guards, [](const Observer& seen) { return seen.most_coordinators > 1; }));
+  EXPECT_TRUE(find_schedule(
+      guards, [](const Observer& seen) { return seen.max_coordinators > 1; }));
 }
 
 TEST(MembershipPropertyTest, WithoutTheWaitForPredecessorsTwoFrontsAreFound) {
   Guards guards;
   guards.revocation_wait = false;
-  EXPECT_TRUE(search(
-      guards, [](const Observer& seen) { return seen.most_fronts > 1; }));
+  EXPECT_TRUE(find_schedule(
+      guards, [](const Observer& seen) { return seen.max_fronts > 1; }));
 }
 
 }  // namespace
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -12,7 +12,7 @@
 using ::testing::SizeIs;
 
 const ZoneName kZone("gongoni");
-const ServerName kPan("panboard-01");
+const ServerName kServer("panboard-01");
 
 DeclarationsRecord declared(int servers, bool checks_grants = true) {
   DeclarationsRecord record;
@@ -35,7 +35,8 @@
  protected:
   MembershipTest() { cluster_.put(declarations_key(), declared(4)); }
 
-  /// Two daemons in the zone; the first coordinates and had every front.
+  /// Starts two daemons in the zone. The first one coordinates and was the
+  /// front of every server until the second one joined.
   void start_pair(const std::string& first = "a",
                   const std::string& second = "b") {
     cluster_.add(first, "gongoni");
@@ -55,7 +56,7 @@
     return counts;
   }
 
-  FrontAssignment front(const ServerName& server = kPan) {
+  FrontAssignment front(const ServerName& server = kServer) {
     return cluster_.stored_roster("gongoni").fronts.at(server);
   }
 
@@ -145,26 +146,26 @@
 TEST_F(MembershipTest, RelayGapIsFilled) {
   start_pair();
   cluster_.cut("a", "b");
-  cluster_.put(drain_key(kPan), DrainPlan{.id = "d1", .server = kPan});
+  cluster_.put(drain_key(kServer), DrainPlan{.id = "d1", .server = kServer});
   cluster_.run(milliseconds(300));
-  EXPECT_EQ(find<DrainPlan>(cluster_.at("b").state.cache, drain_key(kPan)),
+  EXPECT_EQ(find<DrainPlan>(cluster_.at("b").state.cache, drain_key(kServer)),
             nullptr);
-  cluster_.mend("b");
+  cluster_.reconnect("b");
   cluster_.run(seconds(1));
-  EXPECT_NE(find<DrainPlan>(cluster_.at("b").state.cache, drain_key(kPan)),
+  EXPECT_NE(find<DrainPlan>(cluster_.at("b").state.cache, drain_key(kServer)),
             nullptr);
 }
 
 TEST_F(MembershipTest, DeletedKeyGoesEverywhere) {
   start_pair();
-  cluster_.put(drain_key(kPan), DrainPlan{.id = "d1", .server = kPan});
+  cluster_.put(drain_key(kServer), DrainPlan{.id = "d1", .server = kServer});
   cluster_.run(seconds(1));
-  cluster_.put(drain_key(kPan), std::monostate{});
+  cluster_.put(drain_key(kServer), std::monostate{});
   cluster_.run(seconds(1));
   for (const char* node : {"a", "b"}) {
     const Cache& cache = cluster_.at(node).state.cache;
-    EXPECT_EQ(find<DrainPlan>(cache, drain_key(kPan)), nullptr);
-    EXPECT_EQ(version_of(cache, drain_key(kPan)), Version(0));
+    EXPECT_EQ(find<DrainPlan>(cache, drain_key(kServer)), nullptr);
+    EXPECT_EQ(version_of(cache, drain_key(kServer)), Version(0));
   }
 }
 
@@ -202,10 +203,11 @@
   cluster_.store_up = false;
   cluster_.start("c");
   cluster_.run(seconds(4));
-  const core::State& late = cluster_.at("c").state;
-  EXPECT_NE(declarations(late.cache), nullptr);
-  EXPECT_NE(roster(late.cache, kZone), nullptr);
-  EXPECT_FALSE(is_store_reachable(late, cluster_.now_at(cluster_.at("c"))));
+  const core::State& late_state = cluster_.at("c").state;
+  EXPECT_NE(declarations(late_state.cache), nullptr);
+  EXPECT_NE(roster(late_state.cache, kZone), nullptr);
+  EXPECT_FALSE(
+      is_store_reachable(late_state, cluster_.now_at(cluster_.at("c"))));
   EXPECT_THAT(cluster_.coordinators_of("gongoni"), SizeIs(0));
   cluster_.store_up = true;
   cluster_.run(seconds(8));
@@ -224,21 +226,22 @@
   }
   ASSERT_THAT(moved, SizeIs(3));
   cluster_.isolate("b");
-  std::optional<Duration> stopped;
-  std::optional<Duration> cleared;
+  std::optional<Duration> stopped_at;
+  std::optional<Duration> cleared_at;
   cluster_.after_step = [&] {
     bool renews = may_renew_grants(lost.state, cluster_.now_at(lost));
-    if (!renews && !stopped) stopped = cluster_.now();
+    if (!renews && !stopped_at) stopped_at = cluster_.now();
     FrontAssignment now = front(moved.front());
-    bool taken = now.daemon == DaemonName("a") && !now.awaiting_predecessor;
-    if (taken && !cleared) cleared = cluster_.now();
+    bool taken_over =
+        now.daemon == DaemonName("a") && !now.awaiting_predecessor;
+    if (taken_over && !cleared_at) cleared_at = cluster_.now();
   };
   cluster_.run(seconds(5));
   EXPECT_EQ(front(moved.front()).daemon, DaemonName("a"));
   EXPECT_TRUE(front(moved.front()).awaiting_predecessor);
   cluster_.run(seconds(6));
-  ASSERT_TRUE(stopped && cleared);
-  EXPECT_GE(*cleared - *stopped, config::kGrantTerm);
+  ASSERT_TRUE(stopped_at && cleared_at);
+  EXPECT_GE(*cleared_at - *stopped_at, config::kGrantTerm);
   EXPECT_THAT(cluster_.stored_roster("gongoni").lost, SizeIs(0));
 }
 
@@ -253,7 +256,7 @@
 TEST_F(MembershipTest, OneWayLinkDoesNotKeepAFrontGoing) {
   start_pair();
   cluster_.isolate("b");
-  cluster_.mend("b");
+  cluster_.reconnect("b");
   cluster_.at("b").store_reachable = false;
   cluster_.cut("b", "a");
   cluster_.run(seconds(5));
@@ -303,9 +306,9 @@
 
 TEST_F(MembershipTest, LeavingServerIsDrained) {
   start_pair();
-  cluster_.vms = {{kPan.str(), VmState::kLeaving}, {"b", VmState::kLeaving}};
+  cluster_.vms = {{kServer.str(), VmState::kLeaving}, {"b", VmState::kLeaving}};
   cluster_.run(seconds(6));
-  EXPECT_EQ(cluster_.stored_roster("gongoni").statuses.at(kPan),
+  EXPECT_EQ(cluster_.stored_roster("gongoni").statuses.at(kServer),
             ServerStatus::kDraining);
   EXPECT_THAT(front_counts(), (std::map<std::string, int>{{"a", 4}}));
 }
--- a/tests/ownership_property_test.cc
+++ b/tests/ownership_property_test.cc
@@ -40,7 +40,7 @@
              << step.wait_ms;
 }
 
-rc::Gen<Step> any_step() {
+rc::Gen<Step> step_generator() {
   return rc::gen::map(
       rc::gen::tuple(
           rc::gen::inRange(0, static_cast<int>(Fault::kCount)),
@@ -55,8 +55,9 @@
 }
 
 void order_move(World& world, const MoveCommand& move) {
-  DaemonName holder = coordinator_of(world, kGongoni);
-  if (world.daemons.at(holder).alive && !world.daemons.at(holder).paused)
+  DaemonName coordinator = coordinator_of(world, kGongoni);
+  if (world.daemons.at(coordinator).alive &&
+      !world.daemons.at(coordinator).paused)
     order(world, move);
 }
 
@@ -133,8 +134,8 @@
   }
 }
 
-World run_steps(const Shape& shape, const std::vector<Step>& steps) {
-  World world = start_world(shape);
+World run_steps(const WorldOptions& options, const std::vector<Step>& steps) {
+  World world = start_world(options);
   for (const Step& step : steps) {
     inject(world, step);
     scenario::run_for(world, milliseconds(step.wait_ms));
@@ -143,7 +144,7 @@
 }
 
 RC_GTEST_PROP(OwnershipProperty, SoleOwnerUnderDrawnFaults, ()) {
-  auto steps = *rc::gen::container<std::vector<Step>>(any_step());
+  auto steps = *rc::gen::container<std::vector<Step>>(step_generator());
   World world = run_steps({}, steps);
   repair(world);
   scenario::run_for(world, seconds(25));
@@ -152,7 +153,7 @@
   RC_ASSERT(longest_outage(world, world.now - seconds(2)) < milliseconds(300));
 }
 
-/// Steps that bring about the failure that each guard is for, many times over.
+/// Steps that repeatedly provoke the failures that the guards prevent.
 std::vector<Step> hostile_steps(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<Step> steps;
@@ -197,34 +198,35 @@
   EXPECT_GT(violations_with({.lease_wait = false}, true), 0U);
 }
 
-/// A front that hears nothing of its replacement sends a key that has moved on.
-std::size_t violations_of_deposed_front(bool fence) {
+/// A front that is not notified of its replacement sends a request for a key
+/// that has moved.
+std::size_t violations_of_replaced_front(bool fence) {
   World world = start_world(
       {.guards = {.fence = fence}, .execution_limit = milliseconds(100)});
   world.servers_fence = fence;
   DaemonName coordinator = coordinator_of(world, kGongoni);
   int number = 1;
   while (front_of(world, server_name(number)) == coordinator) ++number;
-  DaemonName deposed = front_of(world, server_name(number));
+  DaemonName replaced = front_of(world, server_name(number));
   SlotId slot = slot_owned_by(world, server_name(number));
   world.message_faults.loss = 1;
-  scenario::pause_daemon(world, deposed);
+  scenario::pause_daemon(world, replaced);
   scenario::run_for(world, milliseconds(2000));
   order(world, {.service = kService,
                 .key = keys_by_slot().at(slot.value),
                 .server = server_name(1 + number % 3)});
   scenario::run_for(world, milliseconds(400));
-  scenario::resume_daemon(world, deposed);
+  scenario::resume_daemon(world, replaced);
   scenario::run_for(world, seconds(1));
   return world.violations.size();
 }
 
 TEST(OwnershipGuards, FencedServerRefusesADeposedFront) {
-  EXPECT_EQ(violations_of_deposed_front(true), 0U);
+  EXPECT_EQ(violations_of_replaced_front(true), 0U);
 }
 
 TEST(OwnershipGuards, WithoutFencesTwoServersRunAKey) {
-  EXPECT_GT(violations_of_deposed_front(false), 0U);
+  EXPECT_GT(violations_of_replaced_front(false), 0U);
 }
 
 }  // namespace
--- a/tests/ownership_world.h
+++ b/tests/ownership_world.h
@@ -11,8 +11,8 @@
 #include "scenario/world.h"
 #include "scenario/world_p.h"
 
-/// A service in two availability zones on virtual time, with a prober that
-/// uses every permission to send that any front gives.
+/// A service in two availability zones in virtual time, with a prober that
+/// sends a request wherever a front permits it.
 namespace eelgrasspin::core::ownership {
 
 using scenario::World;
@@ -26,7 +26,7 @@
   return ServerName("panboard-" + std::to_string(number));
 }
 
-struct Shape {
+struct WorldOptions {
   int gongoni_servers = 3;
   int marereni_servers = 1;
   bool checks_grants = true;
@@ -37,32 +37,33 @@
   Duration execution_limit = seconds(1);
 };
 
-/// The prober does not count what runs.
-inline constexpr std::uint32_t kAnyConcurrency = 1'000'000;
+/// The prober does not limit the number of running requests.
+inline constexpr std::uint32_t kUnlimitedConcurrency = 1'000'000;
 
-inline Declarations declare(const Shape& shape) {
-  Declarations d;
-  d.deployment = "test";
+inline Declarations declare(const WorldOptions& options) {
+  Declarations declarations;
+  declarations.deployment = "test";
   for (const ZoneName& zone : {kGongoni, kMarereni})
-    d.zones[zone] = {zone, RegionName("kilifi")};
-  d.services[kService] = {.name = kService,
-                          .key_slots = kSlots,
-                          .execution_limit = shape.execution_limit,
-                          .on_isolation = shape.on_isolation,
-                          .yield_after = shape.yield_after};
-  d.services[kService].operations = {
+    declarations.zones[zone] = {zone, RegionName("kilifi")};
+  declarations.services[kService] = {.name = kService,
+                                     .key_slots = kSlots,
+                                     .execution_limit = options.execution_limit,
+                                     .on_isolation = options.on_isolation,
+                                     .yield_after = options.yield_after};
+  declarations.services[kService].operations = {
       {"reading", "PUT", "/pans/{key}", ExecutionClass::kIdempotent}};
-  for (int i = 1; i <= shape.gongoni_servers + shape.marereni_servers; ++i) {
+  for (int i = 1; i <= options.gongoni_servers + options.marereni_servers;
+       ++i) {
     ServerName name = server_name(i);
-    d.servers[name] = {
+    declarations.servers[name] = {
         .name = name,
         .service = kService,
-        .zone = i <= shape.gongoni_servers ? kGongoni : kMarereni,
+        .zone = i <= options.gongoni_servers ? kGongoni : kMarereni,
         .address = Endpoint(name.str()),
-        .concurrency = kAnyConcurrency,
-        .checks_grants = shape.checks_grants};
+        .concurrency = kUnlimitedConcurrency,
+        .checks_grants = options.checks_grants};
   }
-  return d;
+  return declarations;
 }
 
 /// One key for each slot.
@@ -71,15 +72,15 @@
   std::size_t found = 0;
   for (int i = 0; found < kSlots; ++i) {
     Key key("pan-" + std::to_string(i));
-    Key& place = keys[slot_of(key, kSlots).value];
-    if (!place.empty()) continue;
-    place = key;
+    Key& slot_key = keys[slot_of(key, kSlots).value];
+    if (!slot_key.empty()) continue;
+    slot_key = key;
     ++found;
   }
   return keys;
 }
 
-/// Sends one request for each key through every front that is allowed to.
+/// Sends one request for each key through every front that may send it.
 struct Prober {
   std::vector<Key> keys = keys_by_slot();
   std::uint64_t next_attempt = 1'000'000;
@@ -122,13 +123,13 @@
                      [prober](World& w) { probe(w, prober); });
 }
 
-inline World start_world(const Shape& shape) {
-  World world = scenario::make_world(declare(shape), shape.seed);
+inline World start_world(const WorldOptions& options) {
+  World world = scenario::make_world(declare(options), options.seed);
   scenario::put_declarations(world, world.declarations);
   for (const char* name : {"gongoni-1", "gongoni-2", "gongoni-3"})
-    scenario::add_daemon(world, DaemonName(name), kGongoni, shape.guards);
+    scenario::add_daemon(world, DaemonName(name), kGongoni, options.guards);
   scenario::add_daemon(world, DaemonName("marereni-1"), kMarereni,
-                       shape.guards);
+                       options.guards);
   std::vector<DaemonName> names;
   for (const auto& [name, daemon] : world.daemons) names.push_back(name);
   for (const DaemonName& name : names) scenario::start_daemon(world, name);
@@ -153,18 +154,19 @@
   return count;
 }
 
-/// Longest time without a whole execution of any key, from `from` until now.
+/// Longest time between completed executions of one key, over all keys, from
+/// `from` until now.
 inline Duration longest_outage(const World& world, Duration from) {
-  std::map<Key, Duration> last;
-  for (const Key& key : keys_by_slot()) last[key] = from;
+  std::map<Key, Duration> last_end;
+  for (const Key& key : keys_by_slot()) last_end[key] = from;
   Duration longest{0};
   for (const scenario::Execution& execution : world.executions) {
     if (!execution.ended || execution.aborted || execution.end < from) continue;
-    longest = std::max(longest, execution.end - last[execution.key]);
-    last[execution.key] = execution.end;
+    longest = std::max(longest, execution.end - last_end[execution.key]);
+    last_end[execution.key] = execution.end;
   }
-  for (const auto& [key, at] : last)
-    longest = std::max(longest, world.now - at);
+  for (const auto& [key, ended] : last_end)
+    longest = std::max(longest, world.now - ended);
   return longest;
 }
 
@@ -181,7 +183,8 @@
       .holder;
 }
 
-/// Gives an order to the coordinator of gongoni; empty if it was taken.
+/// Gives a move order to the coordinator of gongoni. Returns the error message;
+/// empty if the order was accepted.
 inline std::string order(World& world, const MoveCommand& move) {
   scenario::Daemon& daemon = world.daemons.at(coordinator_of(world, kGongoni));
   Effects effects;
