--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -67,7 +67,7 @@
                  .cache_revision = state.membership.revision,
                  .stopping = state.stopping,
                  .reaches_store = is_store_reachable(state, now),
-                 .silent = unanswered_members(state),
+                 .ignored_members = unanswered_members(state),
                  .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
   bool due = now.mono >= next_accounts || state.stopping;
--- a/src/core/membership/lost_members.cc
+++ b/src/core/membership/lost_members.cc
@@ -22,9 +22,10 @@
     if (!peer.heartbeat ||
         peer.heartbeat->cache_revision < lost_member.listed_version)
       continue;
-    const std::vector<DaemonName>& silent = peer.heartbeat->silent;
-    bool is_promised =
-        std::find(silent.begin(), silent.end(), daemon) != silent.end();
+    const std::vector<DaemonName>& ignored_members =
+        peer.heartbeat->ignored_members;
+    bool is_promised = std::find(ignored_members.begin(), ignored_members.end(),
+                                 daemon) != ignored_members.end();
     if (is_promised) lost_member.promises.emplace(name, now.mono);
   }
 }
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -249,7 +249,7 @@
           .running = request::running(state, front.server),
           .slot_rates = std::move(load.slot_rates),
           .hot_keys = std::move(load.hot_keys),
-          .silent = is_server_unresponsive(state, front, now),
+          .grant_expired = is_server_unresponsive(state, front, now),
           .map_version = front.map_version};
 }
 
@@ -258,7 +258,7 @@
 void expedite_changed_report(core::State& state, Front& front, Now now) {
   Front::ReportedState reported_state{
       .released = released_units(state, front, now).size(),
-      .silent = is_server_unresponsive(state, front, now),
+      .grant_expired = is_server_unresponsive(state, front, now),
       .lapsed = is_lapsed(state, front, now),
       .holds_grant = holds_grant(state, front, now)};
   if (reported_state == front.reported_state) return;
--- a/src/core/ownership/servers.cc
+++ b/src/core/ownership/servers.cc
@@ -87,7 +87,7 @@
 }
 
 bool is_unresponsive(const ServerView& view) {
-  return view.report != nullptr && view.report->silent;
+  return view.report != nullptr && view.report->grant_expired;
 }
 
 bool is_leaving(const ServerView& view) {
