--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -35,13 +35,13 @@
 }
 
 /// Lost members of the own zone; this daemon no longer answers them.
-std::vector<DaemonName> unanswered_members(const core::State& state) {
-  std::vector<DaemonName> unanswered;
+std::vector<DaemonName> members_to_ignore(const core::State& state) {
+  std::vector<DaemonName> ignored;
   const ZoneRoster* own_roster = roster(state.cache, state.self.zone);
-  if (own_roster == nullptr) return unanswered;
+  if (own_roster == nullptr) return ignored;
   for (const RosterMember& member : own_roster->lost)
-    unanswered.push_back(member.daemon);
-  return unanswered;
+    ignored.push_back(member.daemon);
+  return ignored;
 }
 
 /// Whether a closure is in progress, which needs fresh accounts.
@@ -67,7 +67,7 @@
                  .cache_revision = state.membership.revision,
                  .stopping = state.stopping,
                  .reaches_store = is_store_reachable(state, now),
-                 .ignored_members = unanswered_members(state),
+                 .ignored_members = members_to_ignore(state),
                  .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
   bool due = now.mono >= next_accounts || state.stopping;
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -227,8 +227,7 @@
                                    front.predecessor_stopped.has_value();
 }
 
-bool is_server_unresponsive(const core::State& state, const Front& front,
-                            Now now) {
+bool has_grant_expired(const core::State& state, const Front& front, Now now) {
   if (!front.checks_grants || front.stale) return false;
   if (!state.guards.lease_wait) return front.unreachable;
   std::optional<TimePoint> expiry = latest_grant_expiry(front);
@@ -249,7 +248,7 @@
           .running = request::running(state, front.server),
           .slot_rates = std::move(load.slot_rates),
           .hot_keys = std::move(load.hot_keys),
-          .grant_expired = is_server_unresponsive(state, front, now),
+          .grant_expired = has_grant_expired(state, front, now),
           .map_version = front.map_version};
 }
 
@@ -258,7 +257,7 @@
 void expedite_changed_report(core::State& state, Front& front, Now now) {
   Front::ReportedState reported_state{
       .released = released_units(state, front, now).size(),
-      .grant_expired = is_server_unresponsive(state, front, now),
+      .grant_expired = has_grant_expired(state, front, now),
       .lapsed = is_lapsed(state, front, now),
       .holds_grant = holds_grant(state, front, now)};
   if (reported_state == front.reported_state) return;
