--- a/src/core/cache.h
+++ b/src/core/cache.h
@@ -10,25 +10,25 @@
 
 namespace eelgrasspin::core {
 
-/// What a daemon knows of the store: the last readable value of each key.
-/// Versions only go up.
+/// A daemon's copy of the store: the last readable value of each key. The
+/// version of an entry never regresses.
 struct Cache {
   std::map<StoreKey, StoreEntry> entries;
-  /// Changes with each change of an entry; lets modules see that nothing
-  /// changed.
+  /// Incremented with each newer entry, so that modules can skip work while
+  /// nothing has changed.
   std::uint64_t generation = 0;
 };
 
 enum class ApplyResult : std::uint8_t { kApplied, kStale, kDamaged };
 
-/// Takes an entry over if its version is higher than the known one. A damaged
-/// record leaves the last good one.
+/// Stores an entry if its version is higher than the cached one. If its record
+/// is damaged, the last good record stays under the new version.
 ApplyResult apply(Cache& cache, const StoreEntry& entry);
 
-/// Version of a key; 0 if it is absent or not known.
+/// Version of a key; 0 if the key has no record or is not cached.
 Version version_of(const Cache& cache, const StoreKey& key);
 
-/// The record of a key if it is known and of this type.
+/// The record of a key; null if it is not cached or is of another type.
 template <class R>
 const R* find(const Cache& cache, const StoreKey& key) {
   auto it = cache.entries.find(key);
@@ -36,7 +36,7 @@
                                    : std::get_if<R>(&it->second.record);
 }
 
-/// The declarations in force; null before any is known.
+/// The declarations in force; null if none are cached.
 const Declarations* declarations(const Cache& cache);
 const ServiceDeclaration* service_declaration(const Cache& cache,
                                               const ServiceName& service);
--- a/src/core/effect.h
+++ b/src/core/effect.h
@@ -14,7 +14,7 @@
 #include "eelgrasspin/timeline.h"
 #include "eelgrasspin/units.h"
 
-/// Everything the decision core can ask of the shell.
+/// Effects: everything that the decision core can request from the I/O shell.
 namespace eelgrasspin::core {
 
 struct StoreGet {
@@ -54,8 +54,8 @@
   GrantOrder order;
 };
 
-/// Run the request on a backend server. The shell holds head and body under the
-/// request's id.
+/// Send the request to a backend server. The shell keeps head and body by
+/// request id.
 struct SendToServer {
   RequestId request;
   AttemptId attempt;
@@ -66,10 +66,10 @@
   Epoch epoch;
   FrontEpoch front_epoch;
   Duration time_left{0};
-  bool repeatable = false;
+  bool repeatable = false;  ///< It may run more than once.
 };
 
-/// Hand the request to the daemon that is the front of `server`.
+/// Forward the request to the daemon that is the front of `server`.
 struct SendToFront {
   RequestId request;
   AttemptId attempt;
@@ -79,7 +79,7 @@
   Key key;
   Epoch epoch;
   Duration time_left{0};
-  bool repeatable = false;
+  bool repeatable = false;  ///< It may run more than once.
 };
 
 struct CancelAttempt {
@@ -87,14 +87,14 @@
   AttemptId attempt;
 };
 
-/// Give the attempt's whole answer to whoever sent the request; the request has
-/// ended.
+/// Pass the attempt's complete answer on to the sender of the request (the
+/// caller or the forwarding daemon); the request has ended.
 struct RelayAnswer {
   RequestId request;
   AttemptId attempt;
 };
 
-/// Tell whoever sent the request that it has ended without an answer of the
+/// Tell the sender that the request has ended without an answer from the
 /// backend server.
 struct RefuseRequest {
   RequestId request;
@@ -111,12 +111,12 @@
   CommandAnswer answer;
 };
 
-/// An event for the log; it is on the time line already.
+/// Write an event to the log; the time line has it already.
 struct LogEvent {
   TimelineEvent event;
 };
 
-/// The graceful stop is complete.
+/// End the process; the graceful stop is complete.
 struct ExitProcess {};
 
 using Effect = std::variant<StoreGet, StoreList, StorePut, StoreWatch, ListVms,
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -14,15 +14,15 @@
 #include "eelgrasspin/request.h"
 #include "eelgrasspin/vm_list.h"
 
-/// Everything that can happen to a daemon.
+/// Events: everything that the decision core reacts to.
 namespace eelgrasspin::core {
 
-/// The first event of a run.
+/// The first event of an incarnation.
 struct Started {
   Incarnation incarnation;
 };
 
-/// Comes each config::kTickInterval.
+/// Occurs every config::kTickInterval.
 struct Tick {};
 
 /// SIGTERM, or an operator's stop.
@@ -56,7 +56,7 @@
   RequestOrigin origin;
 };
 
-/// Whoever sent the request has gone; nothing is to be answered.
+/// The sender of the request has disconnected; it gets no answer.
 struct RequestCancelled {
   RequestId id;
 };
@@ -71,18 +71,18 @@
 struct CommandReceived {
   OperatorCallId call;
   OperatorName operator_name;
-  CommandId id;  ///< Chosen by the operator's tool; a repeat runs once.
+  CommandId id;  ///< Chosen by the operator's tool; repeats run once.
   std::string text;
   Command command;
   Version base;
 };
 
-/// An operator's declarations, checked as a whole.
+/// A complete set of declarations from an operator, checked as a whole.
 struct DeclarationsReceived {
   OperatorCallId call;
   OperatorName operator_name;
   Declarations declarations;
-  Version base;  ///< Version that the operator's change was made against.
+  Version base;  ///< Version on which the operator based the change.
 };
 
 using Event =
--- a/src/core/reducer.cc
+++ b/src/core/reducer.cc
@@ -10,9 +10,9 @@
 namespace eelgrasspin::core {
 namespace {
 
-void note_time(State& state, const Event& event, Now now, Effects& effects) {
-  bool first = std::holds_alternative<Started>(event);
-  Duration gap = first ? Duration(0) : now.mono - state.last_event;
+void detect_pause(State& state, const Event& event, Now now, Effects& effects) {
+  bool is_start = std::holds_alternative<Started>(event);
+  Duration gap = is_start ? Duration(0) : now.mono - state.last_event;
   state.resumed_from_pause = gap > config::kPauseThreshold;
   state.pause = state.resumed_from_pause ? gap : Duration(0);
   state.last_event = now.mono;
@@ -21,7 +21,8 @@
   record(state, {.kind = TimelineKind::kPauseDetected}, now, effects);
 }
 
-void note_start(State& state, const Event& event, Now now, Effects& effects) {
+void record_start_or_stop(State& state, const Event& event, Now now,
+                          Effects& effects) {
   if (const auto* started = std::get_if<Started>(&event)) {
     state.self.incarnation = started->incarnation;
     record(state, {.kind = TimelineKind::kDaemonStarted}, now, effects);
@@ -31,36 +32,37 @@
   }
 }
 
-/// Whether a known roster still waits to hear that a front of this daemon has
-/// stopped.
-bool awaited_as_front(const State& state) {
-  bool awaited = false;
+/// Whether a cached roster still lists this daemon as a front or as the
+/// predecessor of one.
+bool is_listed_as_front(const State& state) {
+  bool listed = false;
   for_each_prefixed(state.cache, live_prefix(), [&](const StoreEntry& entry) {
     const auto* roster = std::get_if<ZoneRoster>(&entry.record);
     if (roster == nullptr) return;
     for (const auto& [server, front] : roster->fronts) {
-      awaited |= front.daemon == state.self.name;
-      for (const FrontPredecessor& before : front.predecessors) {
-        awaited |= before.daemon == state.self.name;
+      listed |= front.daemon == state.self.name;
+      for (const FrontPredecessor& predecessor : front.predecessors) {
+        listed |= predecessor.daemon == state.self.name;
       }
     }
   });
-  return awaited;
+  return listed;
 }
 
-/// Whether a stopping daemon has ended its requests and handed over its roles.
+/// Whether a stopping daemon has ended its requests and given up its roles.
 bool stop_complete(const State& state, Now now) {
   return state.stopping && request::open_requests(state) == 0 &&
          membership::coordinated_zones(state, now).empty() &&
-         ownership::fronted_servers(state).empty() && !awaited_as_front(state);
+         ownership::fronted_servers(state).empty() &&
+         !is_listed_as_front(state);
 }
 
 }  // namespace
 
 Effects reduce(State& state, const Event& event, Now now) {
   Effects effects;
-  note_time(state, event, now, effects);
-  note_start(state, event, now, effects);
+  detect_pause(state, event, now, effects);
+  record_start_or_stop(state, event, now, effects);
   step_store_writer(state, event, now, effects);
   membership::step(state, event, now, effects);
   ownership::step(state, event, now, effects);
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -8,8 +8,8 @@
 
 namespace eelgrasspin::core {
 
-/// The one entry to the decision core: takes what happened, changes the state,
-/// says what is to be done.
+/// The only entry point of the decision core: applies an event to the state and
+/// returns the effects for the shell to carry out.
 Effects reduce(State& state, const Event& event, Now now);
 
 }  // namespace eelgrasspin::core
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -18,27 +18,28 @@
 
 namespace eelgrasspin::core {
 
-/// What a daemon knows of itself from its settings.
+/// This daemon's identity, from its settings and its start.
 struct Self {
   DaemonName name;
   ZoneName zone;
   RegionName region;
-  Endpoint address;  ///< Port for other daemons.
+  Endpoint address;  ///< Where other daemons connect.
   std::vector<Endpoint>
-      seeds;  ///< Other daemons to ask while the store is down.
+      seeds;  ///< Other daemons to contact while the store is down.
   Incarnation incarnation;
 };
 
-/// Protections of the promises. All are on in the daemon; tests switch one off
-/// to show that their checks can fail.
+/// Safety mechanisms behind the system's guarantees. The daemon enables all of
+/// them; tests disable one to show that their checks detect the violation.
 struct Guards {
   bool fence = true;  ///< Lower epochs are refused.
   bool lease_wait =
-      true;  ///< Nobody takes over before a lease has provably lapsed.
+      true;  ///< No daemon takes over before a lease has provably expired.
   bool revocation_wait = true;      ///< A slot changes owner only after the old
-                                    ///< one's revocation or lapse.
-  bool settle_lost_answers = true;  ///< A write whose answer was lost is
-                                    ///< settled before anything builds on it.
+                                    ///< grant was revoked or has expired.
+  bool settle_lost_answers = true;  ///< A write whose answer was lost is sent
+                                    ///< again; nothing builds on it until its
+                                    ///< outcome is known.
   bool record_intent =
       true;  ///< At-most-once operations are recorded before they are sent.
   bool check_map_version =
@@ -53,7 +54,7 @@
   std::uint64_t next_sequence = 1;
 };
 
-/// Everything a daemon decides from.
+/// The complete state of a daemon's decision core.
 struct State {
   Self self;
   Guards guards;
@@ -66,16 +67,17 @@
   request::State request;
   operators::State operators;
   TimePoint last_event;             ///< Time of the event before this one.
-  bool resumed_from_pause = false;  ///< A pause ended with this event.
-  Duration pause{0};  ///< How long by this daemon's clock; else 0.
+  bool resumed_from_pause = false;  ///< This event ends a pause.
+  Duration pause{0};                ///< Its length by the local clock; else 0.
   bool stopping = false;
   std::uint64_t next_store_op = 1;
 };
 
 StoreOpId next_store_op(State& state);
 
-/// Adds an event to the time line and to the log. `event` needs kind and what
-/// applies; the rest is filled in.
+/// Adds an event to the time line and to the log. The caller sets `kind` and
+/// the fields that apply to it; time, sequence, daemon and revision are filled
+/// in here, and so is an empty zone.
 void record(State& state, TimelineEvent event, Now now, Effects& effects);
 
 }  // namespace eelgrasspin::core
--- a/src/core/store_writer.cc
+++ b/src/core/store_writer.cc
@@ -24,9 +24,9 @@
 
 void on_conflict(State& state, PendingWrite& write,
                  const StoreConflict& conflict) {
-  bool is_ours = conflict.current.record == write.record;
+  bool is_own_write = conflict.current.record == write.record;
   apply(state.cache, conflict.current);
-  settle(state, write.key, is_ours);
+  settle(state, write.key, is_own_write);
 }
 
 void on_unavailable(State& state, PendingWrite& write, Now now) {
