--- a/src/core/request/accounts.cc
+++ b/src/core/request/accounts.cc
@@ -8,12 +8,14 @@
 namespace eelgrasspin::core::request {
 namespace {
 
-constexpr std::uint64_t kRetryCost = 100;
+constexpr std::uint64_t kRetryCostPercent = 100;
 
-ServiceBook& book_of(core::State& state, const OpenRequest& request) {
-  auto [it, inserted] = state.request.books.try_emplace(request.book);
+ServiceStats& stats_of(core::State& state, const OpenRequest& request) {
+  auto [it, inserted] =
+      state.request.service_stats.try_emplace(request.stats_service);
   if (inserted)
-    it->second.retry_credit = config::kInitialRetryBudget * kRetryCost;
+    it->second.retry_credit_percent =
+        config::kRetryBudgetStart * kRetryCostPercent;
   return it->second;
 }
 
@@ -36,33 +38,32 @@
   ++state.counters[Counter::kRequests];
   bool known =
       find_service(state.request.routing, request.head.service) != nullptr;
-  if (known) request.book = request.head.service;
-  ServiceBook& book = book_of(state, request);
-  ++book.counts.admitted;
-  ++book.counts.in_flight;
-  book.retry_credit =
-      std::min<std::uint64_t>(book.retry_credit + config::kRetryBudgetPercent,
-                              config::kMaxRetryBudget * kRetryCost);
+  if (known) request.stats_service = request.head.service;
+  ServiceStats& stats = stats_of(state, request);
+  ++stats.counts.admitted;
+  ++stats.counts.in_flight;
+  stats.retry_credit_percent = std::min<std::uint64_t>(
+      stats.retry_credit_percent + config::kRetryBudgetPercent,
+      config::kRetryBudgetMax * kRetryCostPercent);
 }
 
 void count_end(core::State& state, const OpenRequest& request, Outcome outcome,
                Reason reason, Now now) {
   if (!request.from_caller) return;
   ++state.counters[counter_of(outcome)];
-  ServiceBook& book = book_of(state, request);
-  --book.counts.in_flight;
-  ++book.counts.by_reason[static_cast<std::size_t>(outcome)][reason];
+  ServiceStats& stats = stats_of(state, request);
+  --stats.counts.in_flight;
+  ++stats.counts.by_reason[static_cast<std::size_t>(outcome)][reason];
   if (outcome == Outcome::kAnswered) return;
-  book.samples.push_back(
+  stats.samples.push_back(
       {now.wall, request.operation, request.key, outcome, reason});
-  if (book.samples.size() > config::kMaxRefusalSamples)
-    book.samples.pop_front();
+  if (stats.samples.size() > config::kRefusalSamples) stats.samples.pop_front();
 }
 
-bool take_retry(core::State& state, const OpenRequest& request) {
-  ServiceBook& book = book_of(state, request);
-  if (book.retry_credit < kRetryCost) return false;
-  book.retry_credit -= kRetryCost;
+bool try_spend_retry(core::State& state, const OpenRequest& request) {
+  ServiceStats& stats = stats_of(state, request);
+  if (stats.retry_credit_percent < kRetryCostPercent) return false;
+  stats.retry_credit_percent -= kRetryCostPercent;
   ++state.counters[Counter::kRetries];
   return true;
 }
@@ -70,11 +71,11 @@
 std::map<ServiceName, DaemonAccount> accounts(const core::State& state,
                                               Now now) {
   std::map<ServiceName, DaemonAccount> all;
-  for (const auto& [service, book] : state.request.books) {
+  for (const auto& [service, stats] : state.request.service_stats) {
     if (service.empty()) continue;
     DaemonAccount account{
-        state.self.name, state.self.incarnation, now.wall, book.counts, {}};
-    account.samples.assign(book.samples.begin(), book.samples.end());
+        state.self.name, state.self.incarnation, now.wall, stats.counts, {}};
+    account.samples.assign(stats.samples.begin(), stats.samples.end());
     all.emplace(service, std::move(account));
   }
   return all;
--- a/src/core/request/admission.cc
+++ b/src/core/request/admission.cc
@@ -17,12 +17,12 @@
   return byte > 0x20 && byte < 0x7f;
 }
 
-bool valid_idempotency_key(const std::string& key) {
+bool is_valid_idempotency_key(const std::string& key) {
   return key.size() <= config::kMaxIdempotencyKeyBytes &&
          std::all_of(key.begin(), key.end(), is_printable);
 }
 
-bool absurd_deadline(const OpenRequest& request) {
+bool is_deadline_out_of_range(const OpenRequest& request) {
   const std::optional<Duration>& left = request.head.time_left;
   return request.from_caller && left &&
          (*left <= Duration(0) || *left > config::kMaxDeadline);
@@ -48,7 +48,7 @@
 
 std::optional<Reason> check_idempotency_key(const OpenRequest& request) {
   const std::string& key = request.head.idempotency_key;
-  if (!valid_idempotency_key(key)) return Reason::kIdempotencyKeyInvalid;
+  if (!is_valid_idempotency_key(key)) return Reason::kIdempotencyKeyInvalid;
   bool needed = request.execution_class == ExecutionClass::kAtMostOnce;
   if (needed && key.empty()) return Reason::kIdempotencyKeyMissing;
   return std::nullopt;
@@ -64,7 +64,7 @@
   request.arrived = now.mono;
   if (const auto* from = std::get_if<ForwardedFrom>(&arrived.origin)) {
     request.from_caller = false;
-    request.named_server = from->server;
+    request.target_server = from->server;
     ++state.counters[Counter::kRequestsForwardedIn];
   }
   ++state.request.held;
@@ -87,7 +87,8 @@
     return Refusal{.reason = Reason::kUnknownOperation};
   if (request.head.hops > config::kMaxHops)
     return Refusal{.reason = Reason::kHopLimit};
-  if (absurd_deadline(request)) return Refusal{.reason = Reason::kBadRequest};
+  if (is_deadline_out_of_range(request))
+    return Refusal{.reason = Reason::kBadRequest};
   if (request.head.body_bytes > config::kMaxBodyBytes)
     return Refusal{.reason = Reason::kBodyTooLarge};
   if (std::optional<Reason> reason = check_idempotency_key(request))
--- a/src/core/request/admission.h
+++ b/src/core/request/admission.h
@@ -12,14 +12,15 @@
 struct State;
 }
 
-/// What is checked before a request goes anywhere.
+/// Registration of arriving requests, and the checks before they are routed.
 namespace eelgrasspin::core::request {
 
-/// Takes a request in as held, with operation, key, slot and deadline.
+/// Registers an arriving request as held, and resolves its operation, key, slot
+/// and deadline.
 OpenRequest& open_request(core::State& state, const RequestArrived& arrived,
                           Now now);
 
-/// Why a request is refused at once; empty if it is admitted.
+/// The refusal of a request that cannot be admitted; empty if it can.
 std::optional<Refusal> check_admission(const core::State& state,
                                        const OpenRequest& request, Now now);
 
--- a/src/core/request/entry.cc
+++ b/src/core/request/entry.cc
@@ -14,8 +14,9 @@
 namespace eelgrasspin::core::request {
 namespace {
 
-/// Refusals that another attempt, at the owner of a newer map, may get past.
-bool may_go_again(Reason reason) {
+/// Whether another attempt may succeed after this refusal, at the owner that a
+/// newer map names.
+bool is_retryable(Reason reason) {
   switch (reason) {
     case Reason::kMoved:
     case Reason::kGrantRefused:
@@ -42,7 +43,7 @@
   return route.owner == nullptr ? Epoch(0) : route.owner->epoch;
 }
 
-Duration forwarded_time(const OpenRequest& request, Now now) {
+Duration forwarded_time_left(const OpenRequest& request, Now now) {
   Duration left = request.deadline - now.mono;
   return left - std::min<Duration>(config::kForwardMargin, left / 4);
 }
@@ -58,19 +59,21 @@
   ++state.counters[Counter::kRequestsForwardedOut];
   effects.push_back(SendToFront{
       request.id, request.attempt, front.endpoint, owner.server, request.slot,
-      request.key, owner.epoch, forwarded_time(request, now),
+      request.key, owner.epoch, forwarded_time_left(request, now),
       request.execution_class != ExecutionClass::kAtMostOnce});
 }
 
-/// A forwarded request is for the front of the server it names, or for nobody.
+/// Queues a forwarded request if this daemon is the front of its target server
+/// and that server owns the key; refuses it otherwise. It is never forwarded
+/// again.
 void accept_forwarded(core::State& state, OpenRequest& request,
                       const Route& route, const FrontAddress* front, Now now,
                       Effects& effects) {
-  bool here = route.owner != nullptr && front != nullptr &&
-              route.owner->server == request.named_server &&
-              front->daemon == state.self.name;
-  if (here) {
-    enqueue(state, request, request.named_server, now, effects);
+  bool is_for_this_front = route.owner != nullptr && front != nullptr &&
+                           route.owner->server == request.target_server &&
+                           front->daemon == state.self.name;
+  if (is_for_this_front) {
+    enqueue(state, request, request.target_server, now, effects);
     return;
   }
   end_refused(
@@ -79,9 +82,10 @@
       now, effects);
 }
 
-/// Bounds the requests that wait for an owner.
-void keep_held(core::State& state, OpenRequest& request, Now now,
-               Effects& effects) {
+/// Keeps a request held while its key has no usable owner; refuses it if too
+/// many are held.
+void hold_until_routed(core::State& state, OpenRequest& request, Now now,
+                       Effects& effects) {
   if (request.last_refusal == Reason::kNone)
     request.last_refusal = Reason::kNoOwner;
   request.try_after = now.mono + config::kRetryDelay;
@@ -92,8 +96,8 @@
       effects);
 }
 
-bool may_repeat(const OpenRequest& request, const AttemptUnknown& result,
-                Now now) {
+bool may_retry(const OpenRequest& request, const AttemptUnknown& result,
+               Now now) {
   return request.from_caller &&
          request.execution_class != ExecutionClass::kAtMostOnce &&
          request.attempts < config::kMaxAttempts && !result.connection_closed &&
@@ -133,7 +137,7 @@
   }
   bool usable = front != nullptr && route.owner->phase == SlotPhase::kOwned;
   if (!usable) {
-    keep_held(state, request, now, effects);
+    hold_until_routed(state, request, now, effects);
   } else if (front->daemon == state.self.name) {
     enqueue(state, request, route.owner->server, now, effects);
   } else {
@@ -171,7 +175,7 @@
 
 void on_not_run(core::State& state, OpenRequest& request,
                 const AttemptNotRun& result, Now now, Effects& effects) {
-  if (request.from_caller && may_go_again(result.reason)) {
+  if (request.from_caller && is_retryable(result.reason)) {
     request.last_refusal = result.reason;
     hold(state, request, now.mono + config::kRetryDelay);
     return;
@@ -187,28 +191,28 @@
 void on_unknown(core::State& state, OpenRequest& request,
                 const AttemptUnknown& result, Now now, Effects& effects) {
   request.maybe_ran = true;
-  bool repeatable = may_repeat(request, result, now);
-  if (repeatable && take_retry(state, request)) {
+  bool retryable = may_retry(request, result, now);
+  if (retryable && try_spend_retry(state, request)) {
     request.last_refusal = result.reason;
     hold(state, request, now.mono);
     return;
   }
-  Reason reason = result.connection_closed ? Reason::kServerFailed
-                  : repeatable             ? Reason::kRetryBudgetSpent
-                                           : result.reason;
+  Reason reason = result.connection_died ? Reason::kServerFailed
+                  : retryable            ? Reason::kRetryBudgetSpent
+                                         : result.reason;
   end_refused(state, request, {.outcome = Outcome::kUnknown, .reason = reason},
               now, effects);
 }
 
-Refusal expiry_of(const OpenRequest& request) {
+Refusal expiry_refusal(const OpenRequest& request) {
   switch (request.stage) {
     case Stage::kHeld:
       return {.reason = request.last_refusal};
     case Stage::kWithdrawing:
       return {.reason = Reason::kMoved};
     case Stage::kQueued:
-      if (request.intent == IntentPhase::kWanted ||
-          request.intent == IntentPhase::kAsked)
+      if (request.intent == IntentPhase::kPending ||
+          request.intent == IntentPhase::kSubmitted)
         return {.reason = Reason::kIntentNotRecorded};
       return {.reason = request.last_refusal == Reason::kNone
                             ? Reason::kDeadlinePassed
@@ -224,15 +228,15 @@
 void expire_requests(core::State& state, Now now, Effects& effects) {
   std::vector<RequestId> due;
   for (const auto& [id, request] : state.request.open) {
-    bool waits = request.stage == Stage::kQueued;
-    if (waits && !state.guards.check_queue_deadline) continue;
+    bool is_queued = request.stage == Stage::kQueued;
+    if (is_queued && !state.guards.check_queue_deadline) continue;
     if (now.mono >= request.deadline) due.push_back(id);
   }
   for (RequestId id : due) {
     OpenRequest* request = find_open(state, id);
     if (request == nullptr) continue;
     cancel_attempt(state, *request, effects);
-    end_refused(state, *request, expiry_of(*request), now, effects);
+    end_refused(state, *request, expiry_refusal(*request), now, effects);
   }
 }
 
--- a/src/core/request/fingerprint.cc
+++ b/src/core/request/fingerprint.cc
@@ -11,7 +11,8 @@
   return XXH64(text.data(), text.size(), 0);
 }
 
-/// Length first, so that two different lists never give the same text.
+/// Writes the length first, so that different sequences of parts never give the
+/// same text.
 void append(std::string& text, const std::string& part) {
   text += std::to_string(part.size());
   text += ':';
--- a/src/core/request/fingerprint.h
+++ b/src/core/request/fingerprint.h
@@ -7,12 +7,12 @@
 
 namespace eelgrasspin::core::request {
 
-/// Same for a request and its repeats by a caller: of the idempotency key, else
-/// of operation, key and body.
+/// Identifies a request and its repeats in the quarantine: hash of the
+/// idempotency key if there is one, else the content fingerprint.
 std::uint64_t crash_fingerprint(const OpenRequest& request);
 
-/// Of operation, key and body: tells a repeat from another request under the
-/// same idempotency key.
+/// Hash of operation, key and body: tells a repeat from a different request
+/// with the same idempotency key.
 std::uint64_t content_fingerprint(const OpenRequest& request);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/front_queue.cc
+++ b/src/core/request/front_queue.cc
@@ -14,11 +14,11 @@
 namespace eelgrasspin::core::request {
 namespace {
 
-/// What a look through a queue found.
+/// Result of a pass over a queue.
 struct Scan {
   std::vector<RequestId> quarantined;
   std::vector<RequestId> expired;
-  std::vector<RequestId> gone;
+  std::vector<RequestId> not_owned;  ///< Their owner has another front.
   std::optional<RequestId> next;
   ownership::SendCheck check;
 };
@@ -36,19 +36,19 @@
                            : routes->declaration.execution_limit;
 }
 
-bool may_send(const core::State& state, const OpenRequest& request) {
+bool has_required_intent(const core::State& state, const OpenRequest& request) {
   return request.intent == IntentPhase::kNotNeeded ||
          request.intent == IntentPhase::kRecorded ||
          !state.guards.record_intent;
 }
 
-/// Sorts one waiting request into the scan; true if it is the next to send.
-bool examine(const core::State& state, const ServerName& server, RequestId id,
-             Now now, Scan& scan) {
+/// Adds one waiting request to the scan; true if it is the next to send.
+bool classify(const core::State& state, const ServerName& server, RequestId id,
+              Now now, Scan& scan) {
   const OpenRequest& request = state.request.open.at(id);
-  Duration work = state.request.queues.at(server).mean_work;
+  Duration service_time = state.request.queues.at(server).mean_service_time;
   if (state.guards.check_queue_deadline &&
-      now.mono + work >= request.deadline) {
+      now.mono + service_time >= request.deadline) {
     scan.expired.push_back(id);
     return false;
   }
@@ -58,31 +58,32 @@
   }
   ownership::SendCheck check =
       ownership::check_send(state, server, request.slot, request.key, now);
-  if (check.permission == ownership::SendPermission::kNotFront)
-    scan.gone.push_back(id);
+  if (check.permission == ownership::SendPermission::kGone)
+    scan.not_owned.push_back(id);
   if (check.permission != ownership::SendPermission::kSend) return false;
-  if (!may_send(state, request)) return false;
+  if (!has_required_intent(state, request)) return false;
   scan.next = id;
   scan.check = check;
   return true;
 }
 
-/// Looks through the callers in turn, after the one served last.
+/// Scans the waiting requests caller by caller (round robin), starting after
+/// the caller served last, until it finds one to send.
 Scan scan_queue(const core::State& state, const ServerName& server,
                 const FrontQueue& queue, std::uint32_t limit, Now now) {
   Scan scan;
   auto from = queue.waiting.upper_bound(queue.last_served);
   bool newest_first = queue.size > limit / 2;
-  auto scan_line = [&](auto begin, auto end) {
+  auto scan_caller = [&](auto begin, auto end) {
     return std::any_of(begin, end, [&](RequestId id) {
-      return examine(state, server, id, now, scan);
+      return classify(state, server, id, now, scan);
     });
   };
   auto scan_callers = [&](auto begin, auto end) {
-    return std::any_of(begin, end, [&](const auto& line) {
-      const std::deque<RequestId>& ids = line.second;
-      return newest_first ? scan_line(ids.rbegin(), ids.rend())
-                          : scan_line(ids.begin(), ids.end());
+    return std::any_of(begin, end, [&](const auto& caller_queue) {
+      const std::deque<RequestId>& ids = caller_queue.second;
+      return newest_first ? scan_caller(ids.rbegin(), ids.rend())
+                          : scan_caller(ids.begin(), ids.end());
     });
   };
   if (!scan_callers(from, queue.waiting.end()))
@@ -102,13 +103,13 @@
   request.attempt = AttemptId(state.request.next_attempt++);
   request.sent_at = now.mono;
   ++request.attempts;
-  bool carved_out = routes != nullptr &&
-                    find_route(*routes, request.slot, request.key).carved_out;
-  queue.occupied[request.attempt] = {.slot = request.slot,
-                                     .key = request.key,
-                                     .carved_out = carved_out,
-                                     .sent_at = now.mono,
-                                     .until = {}};
+  bool is_override = routes != nullptr &&
+                     find_route(*routes, request.slot, request.key).is_override;
+  queue.sent_attempts[request.attempt] = {.slot = request.slot,
+                                          .key = request.key,
+                                          .is_override = is_override,
+                                          .sent_at = now.mono,
+                                          .counted_until = {}};
   ++state.counters[Counter::kRequestsToServers];
   effects.push_back(SendToServer{
       request.id, request.attempt, server, declared->address, request.slot,
@@ -121,7 +122,7 @@
   for (RequestId id : ids) {
     OpenRequest* request = find_open(state, id);
     if (request == nullptr) continue;
-    end_refused(state, *request, expiry_of(*request), now, effects);
+    end_refused(state, *request, expiry_refusal(*request), now, effects);
   }
 }
 
@@ -136,8 +137,8 @@
   }
 }
 
-void send_away(core::State& state, const std::vector<RequestId>& ids, Now now,
-               Effects& effects) {
+void reroute(core::State& state, const std::vector<RequestId>& ids, Now now,
+             Effects& effects) {
   for (RequestId id : ids) {
     OpenRequest* request = find_open(state, id);
     if (request == nullptr) continue;
@@ -149,19 +150,20 @@
   }
 }
 
-/// Makes room in a full queue for a caller below its share; false if the
-/// caller has its share already.
-bool make_room(core::State& state, FrontQueue& queue, const CallerName& caller,
+/// Evicts the newest request of the caller with the most waiting ones, for a
+/// caller below its fair share of a full queue; false if that caller has its
+/// share already, or if no caller has at least two more.
+bool evict_for(core::State& state, FrontQueue& queue, const CallerName& caller,
                std::uint32_t limit, Now now, Effects& effects) {
-  auto mine = queue.waiting.find(caller);
-  std::size_t have = mine == queue.waiting.end() ? 0 : mine->second.size();
-  std::size_t callers = queue.waiting.size() + (have == 0 ? 1 : 0);
-  if (have >= std::max<std::size_t>(1, limit / callers)) return false;
+  auto own = queue.waiting.find(caller);
+  std::size_t own_count = own == queue.waiting.end() ? 0 : own->second.size();
+  std::size_t caller_count = queue.waiting.size() + (own_count == 0 ? 1 : 0);
+  if (own_count >= std::max<std::size_t>(1, limit / caller_count)) return false;
   auto largest = std::max_element(queue.waiting.begin(), queue.waiting.end(),
                                   [](const auto& a, const auto& b) {
                                     return a.second.size() < b.second.size();
                                   });
-  if (largest == queue.waiting.end() || largest->second.size() <= have + 1)
+  if (largest == queue.waiting.end() || largest->second.size() <= own_count + 1)
     return false;
   OpenRequest& evicted = state.request.open.at(largest->second.back());
   end_refused(state, evicted,
@@ -173,15 +175,16 @@
 
 void refuse_full(core::State& state, OpenRequest& request,
                  const FrontQueue& queue, Now now, Effects& effects) {
-  bool alone =
+  bool only_caller =
       queue.waiting.size() == 1 && queue.waiting.contains(request.head.caller);
-  end_refused(state, request,
-              {.reason = alone ? Reason::kQueueFull : Reason::kCallerOverShare,
-               .retry_after = config::kShedRetryAfter},
-              now, effects);
+  end_refused(
+      state, request,
+      {.reason = only_caller ? Reason::kQueueFull : Reason::kCallerOverShare,
+       .retry_after = config::kShedRetryAfter},
+      now, effects);
 }
 
-/// Puts a request back at the head of its caller's line.
+/// Puts a request back at the head of its caller's queue.
 void requeue(core::State& state, OpenRequest& request) {
   FrontQueue& queue = state.request.queues[request.server];
   request.stage = Stage::kQueued;
@@ -189,26 +192,26 @@
   ++queue.size;
 }
 
-void release_occupancy(core::State& state, const OpenRequest& request,
-                       const AttemptResult& result) {
+void close_attempt(core::State& state, const OpenRequest& request,
+                   const AttemptResult& result) {
   if (std::holds_alternative<AttemptUnknown>(result)) {
-    abandon_occupancy(state, request);
+    abandon_attempt(state, request);
     return;
   }
-  state.request.queues[request.server].occupied.erase(request.attempt);
+  state.request.queues[request.server].sent_attempts.erase(request.attempt);
 }
 
-/// Weight of one answer in the moving average of the time a server takes.
-constexpr int kWorkWeight = 8;
+/// One answer has the weight 1/8 in the moving average of a server's time.
+constexpr int kServiceTimeWeightDivisor = 8;
 
-void note_work(core::State& state, const OpenRequest& request,
-               const AttemptResult& result, Now now) {
+void update_service_time(core::State& state, const OpenRequest& request,
+                         const AttemptResult& result, Now now) {
   if (!std::holds_alternative<AttemptAnswered>(result)) return;
-  Duration& mean = state.request.queues[request.server].mean_work;
-  mean += (now.mono - request.sent_at - mean) / kWorkWeight;
+  Duration& mean = state.request.queues[request.server].mean_service_time;
+  mean += (now.mono - request.sent_at - mean) / kServiceTimeWeightDivisor;
 }
 
-bool pauses_queue(Reason reason) {
+bool should_pause_queue(Reason reason) {
   return reason == Reason::kOwnerUnreachable ||
          reason == Reason::kGrantRefused || reason == Reason::kMoved;
 }
@@ -226,7 +229,7 @@
   }
   std::uint32_t limit = queue_limit(state, request.head.service);
   if (queue.size >= limit &&
-      !make_room(state, queue, request.head.caller, limit, now, effects)) {
+      !evict_for(state, queue, request.head.caller, limit, now, effects)) {
     refuse_full(state, request, queue, now, effects);
     return;
   }
@@ -236,25 +239,25 @@
   queue.waiting[request.head.caller].push_back(request.id);
   ++queue.size;
   count_load(queue.load, request.slot, request.key, now);
-  if (!want_intent(state, request)) {
+  if (!enqueue_intent(state, request)) {
     end_refused(state, request, {.reason = Reason::kRepeatInProgress}, now,
                 effects);
     return;
   }
-  pump(state, entry->first, now, effects);
+  process_queue(state, entry->first, now, effects);
 }
 
 void remove_queued(core::State& state, const OpenRequest& request) {
   FrontQueue& queue = state.request.queues[request.server];
-  auto line = queue.waiting.find(request.head.caller);
-  if (line == queue.waiting.end()) return;
+  auto caller_queue = queue.waiting.find(request.head.caller);
+  if (caller_queue == queue.waiting.end()) return;
   queue.size -=
-      static_cast<std::uint32_t>(std::erase(line->second, request.id));
-  if (line->second.empty()) queue.waiting.erase(line);
+      static_cast<std::uint32_t>(std::erase(caller_queue->second, request.id));
+  if (caller_queue->second.empty()) queue.waiting.erase(caller_queue);
 }
 
-void pump(core::State& state, const ServerName& server, Now now,
-          Effects& effects) {
+void process_queue(core::State& state, const ServerName& server, Now now,
+                   Effects& effects) {
   FrontQueue& queue = state.request.queues[server];
   const ServerDeclaration* declared = server_declaration(state.cache, server);
   std::uint32_t concurrency = declared == nullptr ? 0 : declared->concurrency;
@@ -264,17 +267,17 @@
     Scan scan = scan_queue(state, server, queue, limit, now);
     end_expired(state, scan.expired, now, effects);
     end_quarantined(state, scan.quarantined, now, effects);
-    send_away(state, scan.gone, now, effects);
-    bool free = queue.occupied.size() < concurrency;
-    if (!scan.next || !free || now.mono < queue.paused_until) return;
+    reroute(state, scan.not_owned, now, effects);
+    bool has_capacity = queue.sent_attempts.size() < concurrency;
+    if (!scan.next || !has_capacity || now.mono < queue.paused_until) return;
     send_to_server(state, queue, state.request.open.at(*scan.next), server,
                    scan.check, now, effects);
   }
 }
 
-void pump_all(core::State& state, Now now, Effects& effects) {
+void process_all_queues(core::State& state, Now now, Effects& effects) {
   for (auto& [server, queue] : state.request.queues) {
-    if (queue.size > 0) pump(state, server, now, effects);
+    if (queue.size > 0) process_queue(state, server, now, effects);
   }
 }
 
@@ -282,14 +285,14 @@
                              const AttemptResult& result, Now now,
                              Effects& effects) {
   ServerName server = request.server;
-  release_occupancy(state, request, result);
-  note_work(state, request, result, now);
-  note_suspect(state, request, result, now);
+  close_attempt(state, request, result);
+  update_service_time(state, request, result, now);
+  update_strikes(state, request, result, now);
   if (std::holds_alternative<AttemptAnswered>(result)) {
     end_answered(state, request, std::get<AttemptAnswered>(result), now,
                  effects);
   } else if (const auto* not_run = std::get_if<AttemptNotRun>(&result)) {
-    if (pauses_queue(not_run->reason)) {
+    if (should_pause_queue(not_run->reason)) {
       request.last_refusal = not_run->reason;
       state.request.queues[server].paused_until =
           now.mono + config::kRetryDelay;
@@ -303,22 +306,23 @@
   } else {
     on_unknown(state, request, std::get<AttemptUnknown>(result), now, effects);
   }
-  pump(state, server, now, effects);
+  process_queue(state, server, now, effects);
 }
 
-void abandon_occupancy(core::State& state, const OpenRequest& request) {
-  auto& occupied = state.request.queues[request.server].occupied;
-  auto it = occupied.find(request.attempt);
-  if (it == occupied.end()) return;
-  it->second.until =
+void abandon_attempt(core::State& state, const OpenRequest& request) {
+  auto& sent_attempts = state.request.queues[request.server].sent_attempts;
+  auto it = sent_attempts.find(request.attempt);
+  if (it == sent_attempts.end()) return;
+  it->second.counted_until =
       it->second.sent_at + execution_limit(state, request.head.service);
 }
 
-void expire_occupancies(core::State& state, Now now) {
+void expire_abandoned_attempts(core::State& state, Now now) {
   for (auto& [server, queue] : state.request.queues) {
-    age_load(queue.load, now);
-    std::erase_if(queue.occupied, [&](const auto& item) {
-      return item.second.until && now.mono >= *item.second.until;
+    decay_load(queue.load, now);
+    std::erase_if(queue.sent_attempts, [&](const auto& item) {
+      return item.second.counted_until &&
+             now.mono >= *item.second.counted_until;
     });
   }
 }
@@ -328,11 +332,11 @@
   auto it = state.request.queues.find(server);
   if (it == state.request.queues.end()) return 0;
   return static_cast<std::uint32_t>(
-      std::count_if(it->second.occupied.begin(), it->second.occupied.end(),
-                    [&](const auto& item) {
-                      const Occupancy& occupancy = item.second;
-                      if (!key.empty()) return occupancy.key == key;
-                      return occupancy.slot == slot && !occupancy.carved_out;
+      std::count_if(it->second.sent_attempts.begin(),
+                    it->second.sent_attempts.end(), [&](const auto& item) {
+                      const SentAttempt& sent = item.second;
+                      if (!key.empty()) return sent.key == key;
+                      return sent.slot == slot && !sent.is_override;
                     }));
 }
 
@@ -340,7 +344,7 @@
   auto it = state.request.queues.find(server);
   return it == state.request.queues.end()
              ? 0
-             : static_cast<std::uint32_t>(it->second.occupied.size());
+             : static_cast<std::uint32_t>(it->second.sent_attempts.size());
 }
 
 std::uint32_t queued(const core::State& state, const ServerName& server) {
--- a/src/core/request/front_queue.h
+++ b/src/core/request/front_queue.h
@@ -10,35 +10,36 @@
 struct State;
 }
 
-/// The queue of the front of one backend server: bounded, fair between callers,
-/// aware of deadlines, newest first while more than half full, and never more
-/// requests at the server than it runs at once.
+/// The queue that a front keeps for each of its backend servers: bounded, fair
+/// between callers, aware of deadlines, and LIFO while more than half full. It
+/// never sends more requests than the server runs concurrently.
 namespace eelgrasspin::core::request {
 
-/// Queues a request for `server`, or ends it as refused.
+/// Queues a request for `server`, or refuses it.
 void enqueue(core::State& state, OpenRequest& request, const ServerName& server,
              Now now, Effects& effects);
 
-/// Takes a waiting request out of its queue.
+/// Removes a waiting request from its queue.
 void remove_queued(core::State& state, const OpenRequest& request);
 
-/// Sends what may be sent to `server` now, and ends what cannot be sent any
-/// more.
-void pump(core::State& state, const ServerName& server, Now now,
-          Effects& effects);
-void pump_all(core::State& state, Now now, Effects& effects);
+/// Sends the waiting requests that `server` can take now, and ends or reroutes
+/// those that can no longer be sent to it.
+void process_queue(core::State& state, const ServerName& server, Now now,
+                   Effects& effects);
+void process_all_queues(core::State& state, Now now, Effects& effects);
 
-/// Takes the end of an attempt at a backend server.
+/// Handles the end of an attempt at a backend server.
 void on_server_attempt_ended(core::State& state, OpenRequest& request,
                              const AttemptResult& result, Now now,
                              Effects& effects);
 
-/// The answer of the request's attempt is no longer awaited; its server may
-/// still be working on it until the execution limit has passed.
-void abandon_occupancy(core::State& state, const OpenRequest& request);
+/// Stops waiting for the answer of the request's attempt. It still counts as
+/// running at the server until the execution limit has passed.
+void abandon_attempt(core::State& state, const OpenRequest& request);
 
-/// Forgets abandoned attempts whose execution limit has passed.
-void expire_occupancies(core::State& state, Now now);
+/// Removes abandoned attempts whose execution limit has passed, and decays the
+/// load counts.
+void expire_abandoned_attempts(core::State& state, Now now);
 
 }  // namespace eelgrasspin::core::request
 
--- a/src/core/request/intent_state.h
+++ b/src/core/request/intent_state.h
@@ -17,52 +17,55 @@
 
 namespace eelgrasspin::core::request {
 
-/// What names an at-most-once operation over all its repeats.
+/// Identifies an at-most-once operation and its repeats: service and
+/// idempotency key.
 using IntentKey = std::pair<ServiceName, std::string>;
 
-/// How an intent ended, and the request that waits for the ledger to know.
+/// The outcome of an intent, to be sent to the ledger writer.
 struct EndedIntent {
   Intent intent;
-  RequestId withdrawing;  ///< 0 if none waits.
+  RequestId
+      withdrawn_request;  ///< Waits for the ledger's answer; 0 if none does.
 };
 
-/// A message to a zone's ledger writer that has not been answered.
+/// An unanswered message to a zone's ledger writer: intents to record, or the
+/// outcomes of intents.
 struct LedgerCall {
   ZoneName zone;
   std::vector<RequestId> requests;  ///< In the order of `intents`.
   std::vector<Intent> intents;
-  bool outcomes = false;  ///< Tells how intents ended, else asks to record.
+  bool has_outcomes = false;  ///< Else it has intents to record.
   TimePoint sent_at;
-  std::uint32_t tries = 0;
+  std::uint32_t attempts = 0;
 };
 
 /// A front's side of the ledger.
 struct IntentClient {
-  std::map<ZoneName, std::vector<RequestId>> wanted;  ///< For the next batch.
+  std::map<ZoneName, std::vector<RequestId>> unsent;  ///< For the next batch.
   std::map<ZoneName, std::vector<EndedIntent>>
-      ended;  ///< For the next outcomes.
+      ended;  ///< For the next outcome message.
   std::map<ZoneName, TimePoint> last_batch;
   std::map<std::uint64_t, LedgerCall> calls;
-  std::map<IntentKey, RequestId> running;  ///< At this front now.
+  std::map<IntentKey, RequestId> running;  ///< Open at this front.
 };
 
-/// What the ledger writer knows of the latest intent under a key.
+/// The latest intent with a given key, in the ledger writer's index.
 struct IndexedIntent {
   Intent intent;
-  bool confirmed = false;
-  bool own = false;  ///< In a segment of this zone.
+  bool confirmed = false;    ///< In the store.
+  bool in_own_zone = false;  ///< In a segment of this ledger's zone.
   std::uint64_t segment = 0;
-  std::size_t position = 0;
+  std::size_t position = 0;  ///< In the segment.
 };
 
-/// A batch whose verdicts are not complete.
+/// A front's batch of intents that still lacks verdicts.
 struct OpenBatch {
   DaemonName daemon;
   Endpoint address;
   std::vector<std::optional<IntentVerdict>> verdicts;
 };
 
-/// An intent that waits to be written, and the verdict it decides.
+/// An intent to be written, and where its verdict goes.
 struct WaitingIntent {
   Intent intent;
   std::uint64_t batch = 0;
@@ -70,9 +73,9 @@
 };
 
 enum class LedgerPhase : std::uint8_t {
-  kListing,  ///< Reads every zone's segments.
-  kSealing,  ///< Seals what an earlier writer left open, and opens a new one.
-  kReady,
+  kListing,  ///< Reads the segments of all zones.
+  kSealing,  ///< Seals what earlier writers left open, and opens a new segment.
+  kReady,    ///< Records intents.
 };
 
 /// The ledger of a zone that this daemon coordinates.
@@ -80,15 +83,15 @@
   TermEpoch epoch;
   LedgerPhase phase = LedgerPhase::kListing;
   std::optional<StoreOpId> listing;
-  TimePoint list_after;
-  std::vector<Version> zone_maps;  ///< As of the last load.
+  TimePoint list_after;            ///< After a failed listing: earliest retry.
+  std::vector<Version> zone_maps;  ///< Versions at the last load.
   std::map<std::uint64_t, IntentSegment> segments;
   std::set<std::uint64_t> dirty;  ///< Segments with outcomes not yet written.
   std::uint64_t open_segment = 0;
   std::map<IntentKey, IndexedIntent> index;
   std::map<std::uint64_t, OpenBatch> batches;
   std::vector<WaitingIntent> waiting;
-  std::vector<WaitingIntent> committing;  ///< In the write under way.
+  std::vector<WaitingIntent> committing;  ///< In the pending write.
   TimePoint last_commit;
   TimePoint last_outcome_write;
   TimePoint last_expiry;
--- a/src/core/request/intents.cc
+++ b/src/core/request/intents.cc
@@ -32,8 +32,8 @@
           .ticket = request.ticket};
 }
 
-bool was_asked(const OpenRequest& request) {
-  return request.intent == IntentPhase::kAsked ||
+bool was_submitted(const OpenRequest& request) {
+  return request.intent == IntentPhase::kSubmitted ||
          request.intent == IntentPhase::kRecorded;
 }
 
@@ -49,7 +49,7 @@
   return IntentState::kUnknown;
 }
 
-void forget_running(core::State& state, const OpenRequest& request) {
+void erase_running(core::State& state, const OpenRequest& request) {
   auto& running = state.request.intents.running;
   auto it = running.find(key_of(request));
   if (it != running.end() && it->second == request.id) running.erase(it);
@@ -58,9 +58,9 @@
 void send_call(core::State& state, std::uint64_t id, LedgerCall& call, Now now,
                Effects& effects) {
   call.sent_at = now.mono;
-  ++call.tries;
+  ++call.attempts;
   PeerMessage message;
-  if (call.outcomes) {
+  if (call.has_outcomes) {
     message = IntentOutcomes{state.self.name, call.intents, state.self.address,
                              id, call.zone};
   } else {
@@ -68,7 +68,7 @@
                           call.zone};
   }
   if (membership::coordinates(state, call.zone, now)) {
-    state.request.to_self.push_back(std::move(message));
+    state.request.messages_to_self.push_back(std::move(message));
     return;
   }
   Endpoint writer = membership::coordinator_address(state, call.zone);
@@ -84,14 +84,15 @@
   send_call(state, id, it->second, now, effects);
 }
 
-void send_wanted(core::State& state, const ZoneName& zone,
-                 const std::vector<RequestId>& wanted, Now now,
-                 Effects& effects) {
+void send_intents(core::State& state, const ZoneName& zone,
+                  const std::vector<RequestId>& unsent, Now now,
+                  Effects& effects) {
   LedgerCall call{.zone = zone};
-  for (RequestId id : wanted) {
+  for (RequestId id : unsent) {
     OpenRequest* request = find_open(state, id);
-    if (request == nullptr || request->intent != IntentPhase::kWanted) continue;
-    request->intent = IntentPhase::kAsked;
+    if (request == nullptr || request->intent != IntentPhase::kPending)
+      continue;
+    request->intent = IntentPhase::kSubmitted;
     Intent intent = intent_of(*request, IntentState::kIntended);
     intent.recorded = now.wall;
     call.requests.push_back(id);
@@ -100,19 +101,19 @@
   if (!call.intents.empty()) start_call(state, std::move(call), now, effects);
 }
 
-void send_endings(core::State& state, Now now, Effects& effects) {
+void send_outcomes(core::State& state, Now now, Effects& effects) {
   for (auto& [zone, ended] : state.request.intents.ended) {
     if (ended.empty()) continue;
-    LedgerCall call{.zone = zone, .outcomes = true};
+    LedgerCall call{.zone = zone, .has_outcomes = true};
     for (EndedIntent& item : std::exchange(ended, {})) {
-      call.requests.push_back(item.withdrawing);
+      call.requests.push_back(item.withdrawn_request);
       call.intents.push_back(std::move(item.intent));
     }
     start_call(state, std::move(call), now, effects);
   }
 }
 
-/// What a repeat is told of the first request under its idempotency key.
+/// The refusal of a repeat, from the recorded intent of the earlier request.
 Refusal refusal_of_repeat(const OpenRequest& request, const Intent& earlier) {
   if (earlier.fingerprint != content_fingerprint(request))
     return {.reason = Reason::kIdempotencyKeyInvalid};
@@ -123,28 +124,28 @@
           .reason = Reason::kRepeatOutcomeUnknown};
 }
 
-void on_verdict(core::State& state, RequestId id, const Intent& asked,
+void on_verdict(core::State& state, RequestId id, const Intent& submitted,
                 const IntentVerdict& verdict, Now now, Effects& effects) {
   OpenRequest* request = find_open(state, id);
-  if (request == nullptr || request->ticket != asked.ticket ||
-      request->intent != IntentPhase::kAsked)
+  if (request == nullptr || request->ticket != submitted.ticket ||
+      request->intent != IntentPhase::kSubmitted)
     return;
   if (verdict.recorded) {
     request->intent = IntentPhase::kRecorded;
     if (request->stage == Stage::kQueued)
-      pump(state, ServerName(request->server), now, effects);
+      process_queue(state, ServerName(request->server), now, effects);
     return;
   }
   if (!verdict.earlier) return;
-  forget_running(state, *request);
+  erase_running(state, *request);
   request->intent = IntentPhase::kNotNeeded;
   ++state.counters[Counter::kIntentRepeats];
   end_refused(state, *request, refusal_of_repeat(*request, *verdict.earlier),
               now, effects);
 }
 
-/// The ledger knows that these requests did not run: those that wait for it may
-/// go on.
+/// Continues withdrawn requests once the ledger has noted that they did not
+/// run.
 void finish_withdrawals(core::State& state, const LedgerCall& call, Now now,
                         Effects& effects) {
   for (RequestId id : call.requests) {
@@ -157,12 +158,12 @@
   }
 }
 
-bool gives_up(const core::State& state, const LedgerCall& call) {
-  if (call.outcomes) return call.tries >= config::kMaxIntentOutcomeSends;
+bool should_give_up(const core::State& state, const LedgerCall& call) {
+  if (call.has_outcomes) return call.attempts >= config::kIntentOutcomeTries;
   for (RequestId id : call.requests) {
     auto it = state.request.open.find(id);
     if (it != state.request.open.end() &&
-        it->second.intent == IntentPhase::kAsked)
+        it->second.intent == IntentPhase::kSubmitted)
       return false;
   }
   return true;
@@ -173,7 +174,7 @@
   for (auto it = calls.begin(); it != calls.end();) {
     LedgerCall& call = it->second;
     bool due = now.mono - call.sent_at >= config::kIntentResendInterval;
-    if (due && gives_up(state, call)) {
+    if (due && should_give_up(state, call)) {
       it = calls.erase(it);
       continue;
     }
@@ -184,7 +185,7 @@
 
 }  // namespace
 
-bool want_intent(core::State& state, OpenRequest& request) {
+bool enqueue_intent(core::State& state, OpenRequest& request) {
   bool needed = request.execution_class == ExecutionClass::kAtMostOnce &&
                 state.guards.record_intent;
   if (!needed) return true;
@@ -194,16 +195,16 @@
     ++state.counters[Counter::kIntentRepeats];
     return false;
   }
-  request.intent = IntentPhase::kWanted;
+  request.intent = IntentPhase::kPending;
   request.ticket = new_write_id(state);
-  state.request.intents.wanted[ledger_zone(state, request)].push_back(
+  state.request.intents.unsent[ledger_zone(state, request)].push_back(
       request.id);
   return true;
 }
 
 bool withdraw_intent(core::State& state, OpenRequest& request) {
-  forget_running(state, request);
-  if (!was_asked(request)) {
+  erase_running(state, request);
+  if (!was_submitted(request)) {
     request.intent = IntentPhase::kNotNeeded;
     return false;
   }
@@ -216,8 +217,8 @@
 void end_intent(core::State& state, const OpenRequest& request, Outcome outcome,
                 std::uint16_t status) {
   if (request.intent == IntentPhase::kNotNeeded) return;
-  forget_running(state, request);
-  if (!was_asked(request)) return;
+  erase_running(state, request);
+  if (!was_submitted(request)) return;
   Intent intent = intent_of(request, state_of(outcome));
   intent.status = status;
   state.request.intents.ended[ledger_zone(state, request)].push_back(
@@ -228,10 +229,10 @@
                       Now now, Effects& effects) {
   auto it = state.request.intents.calls.find(answer.batch);
   if (it == state.request.intents.calls.end()) return;
-  if (!it->second.outcomes && answer.verdicts.empty()) return;
+  if (!it->second.has_outcomes && answer.verdicts.empty()) return;
   LedgerCall call = std::move(it->second);
   state.request.intents.calls.erase(it);
-  if (call.outcomes) {
+  if (call.has_outcomes) {
     finish_withdrawals(state, call, now, effects);
     return;
   }
@@ -244,14 +245,14 @@
 void flush_intents(core::State& state, Now now, Effects& effects) {
   IntentClient& client = state.request.intents;
   resend_calls(state, now, effects);
-  for (auto& [zone, wanted] : client.wanted) {
+  for (auto& [zone, unsent] : client.unsent) {
     TimePoint& last = client.last_batch[zone];
-    if (wanted.empty() || now.mono - last < config::kIntentCommitInterval)
+    if (unsent.empty() || now.mono - last < config::kIntentCommitInterval)
       continue;
     last = now.mono;
-    send_wanted(state, zone, std::exchange(wanted, {}), now, effects);
+    send_intents(state, zone, std::exchange(unsent, {}), now, effects);
   }
-  send_endings(state, now, effects);
+  send_outcomes(state, now, effects);
 }
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -18,23 +18,24 @@
                  const Endpoint& address, IntentBatchAnswer answer,
                  Effects& effects) {
   if (daemon == state.self.name) {
-    state.request.to_self.emplace_back(std::move(answer));
+    state.request.messages_to_self.emplace_back(std::move(answer));
     return;
   }
   ++state.counters[Counter::kPeerMessagesSent];
   effects.push_back(SendPeer{address, std::move(answer)});
 }
 
-/// Notes one verdict; answers the batch when it was the last one.
-void decide(core::State& state, ZoneLedger& ledger, const WaitingIntent& item,
-            IntentVerdict verdict, Effects& effects) {
+/// Sets one verdict; answers the batch if it was the last one missing.
+void set_verdict(core::State& state, ZoneLedger& ledger,
+                 const WaitingIntent& item, IntentVerdict verdict,
+                 Effects& effects) {
   auto it = ledger.batches.find(item.batch);
   if (it == ledger.batches.end()) return;
   OpenBatch& batch = it->second;
   batch.verdicts[item.position] = std::move(verdict);
-  bool open = std::any_of(batch.verdicts.begin(), batch.verdicts.end(),
-                          [](const auto& known) { return !known; });
-  if (open) return;
+  bool has_missing = std::any_of(batch.verdicts.begin(), batch.verdicts.end(),
+                                 [](const auto& known) { return !known; });
+  if (has_missing) return;
   IntentBatchAnswer answer{item.batch, {}};
   for (auto& known : batch.verdicts)
     answer.verdicts.push_back(std::move(*known));
@@ -42,9 +43,10 @@
   ledger.batches.erase(it);
 }
 
-/// Judges repeats; what is left is appended to the open segment.
-void judge_waiting(core::State& state, ZoneLedger& ledger,
-                   IntentSegment& segment, Effects& effects) {
+/// Decides the waiting intents that are repeats; appends the others to the open
+/// segment.
+void process_waiting(core::State& state, ZoneLedger& ledger,
+                     IntentSegment& segment, Effects& effects) {
   std::vector<WaitingIntent> later;
   for (WaitingIntent& item : std::exchange(ledger.waiting, {})) {
     IntentKey key = key_of(item.intent);
@@ -54,15 +56,16 @@
     bool may_run = known == ledger.index.end() ||
                    known->second.intent.state == IntentState::kNotRun;
     if (same && known->second.confirmed) {
-      decide(state, ledger, item, {.recorded = true}, effects);
+      set_verdict(state, ledger, item, {.recorded = true}, effects);
     } else if (!same && !may_run) {
-      decide(state, ledger, item, {.earlier = known->second.intent}, effects);
-    } else if (segment.intents.size() >= config::kMaxIntentSegmentEntries) {
+      set_verdict(state, ledger, item, {.earlier = known->second.intent},
+                  effects);
+    } else if (segment.intents.size() >= config::kIntentSegmentEntries) {
       later.push_back(std::move(item));
     } else {
       ledger.index[key] = {.intent = item.intent,
                            .confirmed = false,
-                           .own = true,
+                           .in_own_zone = true,
                            .segment = segment.number,
                            .position = segment.intents.size()};
       segment.intents.push_back(item.intent);
@@ -81,7 +84,7 @@
   start_write(state, key, version_of(state.cache, key), segment, now, effects);
 }
 
-/// Writes the open segment when intents wait, and opens the next one when it is
+/// Writes the waiting intents to the open segment, or to a new one if that is
 /// full.
 void commit(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
             Now now, Effects& effects) {
@@ -94,7 +97,7 @@
     segment = &ledger.segments[++ledger.open_segment];
     *segment = {.zone = zone, .number = ledger.open_segment};
   }
-  judge_waiting(state, ledger, *segment, effects);
+  process_waiting(state, ledger, *segment, effects);
   if (ledger.committing.empty()) return;
   segment->sealed = segment->intents.size() >= config::kMaxIntentSegmentEntries;
   ledger.last_commit = now.mono;
@@ -108,11 +111,11 @@
     if (known != ledger.index.end() &&
         known->second.intent.ticket == item.intent.ticket)
       known->second.confirmed = true;
-    decide(state, ledger, item, {.recorded = true}, effects);
+    set_verdict(state, ledger, item, {.recorded = true}, effects);
   }
 }
 
-/// Takes the settled writes of this event.
+/// Handles the segment writes that settled during this event.
 void on_settled(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
                 Effects& effects) {
   if (ledger.phase != LedgerPhase::kReady) return;
@@ -151,7 +154,7 @@
                      });
 }
 
-/// Deletes sealed segments whose newest intent is past retention.
+/// Deletes sealed segments in which every intent is past retention.
 void expire(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
             Now now, Effects& effects) {
   if (now.mono - ledger.last_expiry < config::kIntentExpiryInterval) return;
@@ -164,7 +167,7 @@
                !write_pending(state, key);
     if (!due) return false;
     std::erase_if(ledger.index, [&](const auto& entry) {
-      return entry.second.own && entry.second.segment == number;
+      return entry.second.in_own_zone && entry.second.segment == number;
     });
     ledger.dirty.erase(number);
     start_write(state, key, version_of(state.cache, key), std::monostate(), now,
@@ -172,13 +175,14 @@
     return true;
   });
   std::erase_if(ledger.index, [&](const auto& entry) {
-    return !entry.second.own &&
+    return !entry.second.in_own_zone &&
            now.wall - entry.second.intent.recorded > config::kIntentRetention;
   });
 }
 
-/// Writes of an earlier term are given up: the next writer settles them.
-void drop_ledger(core::State& state, const ZoneName& zone) {
+/// Abandons the writes of a lost coordinator term; the next ledger writer
+/// settles them.
+void abandon_ledger(core::State& state, const ZoneName& zone) {
   std::string prefix = intent_prefix(zone).str();
   std::vector<StoreKey> pending;
   for (const auto& [key, write] : state.writer.pending) {
@@ -188,22 +192,22 @@
   state.request.ledgers.erase(zone);
 }
 
-void drop_lost_ledgers(core::State& state, Now now) {
+void abandon_lost_ledgers(core::State& state, Now now) {
   std::vector<ZoneName> lost;
   for (const auto& [zone, ledger] : state.request.ledgers) {
     if (!membership::coordinates(state, zone, now) ||
         membership::coordinator_epoch(state, zone) != ledger.epoch)
       lost.push_back(zone);
   }
-  for (const ZoneName& zone : lost) drop_ledger(state, zone);
+  for (const ZoneName& zone : lost) abandon_ledger(state, zone);
 }
 
 void reload_after_handover(const core::State& state, const ZoneName& zone,
                            ZoneLedger& ledger) {
-  bool quiet =
+  bool idle =
       ledger.phase == LedgerPhase::kReady && ledger.committing.empty() &&
       !write_pending(state, intent_segment_key(zone, ledger.open_segment));
-  if (quiet && ledger.zone_maps != zone_map_versions(state))
+  if (idle && ledger.zone_maps != zone_map_versions(state))
     restart_load(ledger);
 }
 
@@ -218,9 +222,9 @@
   expire(state, zone, ledger, now, effects);
 }
 
-/// Takes an intent that has not been written yet back; true if it was there.
-bool take_back(core::State& state, ZoneLedger& ledger, const Intent& intent,
-               Effects& effects) {
+/// Removes an intent that has not been written yet; true if there was one.
+bool withdraw_waiting(core::State& state, ZoneLedger& ledger,
+                      const Intent& intent, Effects& effects) {
   auto it = std::find_if(ledger.waiting.begin(), ledger.waiting.end(),
                          [&](const WaitingIntent& item) {
                            return item.intent.ticket == intent.ticket;
@@ -228,17 +232,18 @@
   if (it == ledger.waiting.end()) return false;
   WaitingIntent item = std::move(*it);
   ledger.waiting.erase(it);
-  decide(state, ledger, item, {}, effects);
+  set_verdict(state, ledger, item, {}, effects);
   return true;
 }
 
-/// True if the ledger knows the intent.
-bool take_outcome(ZoneLedger& ledger, const Intent& intent) {
+/// Records the outcome of an intent; true if the ledger knows the intent.
+bool apply_outcome(ZoneLedger& ledger, const Intent& intent) {
   auto it = ledger.index.find(key_of(intent));
   if (it == ledger.index.end()) return false;
   IndexedIntent& known = it->second;
   if (known.intent.ticket != intent.ticket) return true;
-  if (known.intent.state != IntentState::kIntended || !known.own) return true;
+  if (known.intent.state != IntentState::kIntended || !known.in_own_zone)
+    return true;
   known.intent.state = intent.state;
   known.intent.status = intent.status;
   ledger.segments[known.segment].intents[known.position] = known.intent;
@@ -269,8 +274,8 @@
   if (it == state.request.ledgers.end()) return;
   bool all_known = true;
   for (const Intent& intent : outcomes.intents) {
-    bool known = take_back(state, it->second, intent, effects) ||
-                 take_outcome(it->second, intent);
+    bool known = withdraw_waiting(state, it->second, intent, effects) ||
+                 apply_outcome(it->second, intent);
     all_known = all_known && known;
   }
   if (!all_known) return;
@@ -280,7 +285,7 @@
 
 void step_ledgers(core::State& state, const Event& event, Now now,
                   Effects& effects) {
-  drop_lost_ledgers(state, now);
+  abandon_lost_ledgers(state, now);
   for (const ZoneName& zone : membership::coordinated_zones(state, now)) {
     auto [it, inserted] = state.request.ledgers.try_emplace(zone);
     ZoneLedger& ledger = it->second;
--- a/src/core/request/ledger_load.cc
+++ b/src/core/request/ledger_load.cc
@@ -10,8 +10,9 @@
 
 const StoreKey kAllIntents("kept/intent/");
 
-/// Which of two records under one key decides about repeats.
-int weight(IntentState state) {
+/// Of two intents with one key, the one with the higher precedence decides
+/// about repeats.
+int precedence(IntentState state) {
   switch (state) {
     case IntentState::kAnswered:
       return 2;
@@ -28,25 +29,25 @@
   IntentKey key{found.intent.service, found.intent.idempotency_key};
   auto [it, inserted] = ledger.index.try_emplace(key, found);
   if (inserted) return;
-  if (weight(found.intent.state) >= weight(it->second.intent.state))
+  if (precedence(found.intent.state) >= precedence(it->second.intent.state))
     it->second = found;
 }
 
 void add_segment(ZoneLedger& ledger, const ZoneName& zone,
                  const IntentSegment& segment) {
-  bool own = segment.zone == zone;
+  bool in_own_zone = segment.zone == zone;
   for (std::size_t i = 0; i < segment.intents.size(); ++i)
     add_to_index(ledger, {.intent = segment.intents[i],
                           .confirmed = true,
-                          .own = own,
+                          .in_own_zone = in_own_zone,
                           .segment = segment.number,
                           .position = i});
-  if (own) ledger.segments[segment.number] = segment;
+  if (in_own_zone) ledger.segments[segment.number] = segment;
 }
 
-/// Outcomes that were told but not yet written survive a load.
-void keep_outcomes(ZoneLedger& ledger,
-                   const std::map<IntentKey, IndexedIntent>& before) {
+/// Copies outcomes that were received but not yet written into the new index.
+void restore_outcomes(ZoneLedger& ledger,
+                      const std::map<IntentKey, IndexedIntent>& before) {
   for (const auto& [key, earlier] : before) {
     auto it = ledger.index.find(key);
     if (it == ledger.index.end()) continue;
@@ -57,14 +58,14 @@
     if (!newer) continue;
     entry.intent.state = earlier.intent.state;
     entry.intent.status = earlier.intent.status;
-    if (!entry.own) continue;
+    if (!entry.in_own_zone) continue;
     ledger.segments[entry.segment].intents[entry.position] = entry.intent;
     ledger.dirty.insert(entry.segment);
   }
 }
 
-void take_listing(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
-                  const StoreRead& read) {
+void rebuild_index(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
+                   const StoreRead& read) {
   std::map<IntentKey, IndexedIntent> before = std::move(ledger.index);
   ledger.index.clear();
   ledger.segments.clear();
@@ -80,7 +81,7 @@
     add_segment(ledger, zone, *segment);
   }
   ++ledger.open_segment;
-  keep_outcomes(ledger, before);
+  restore_outcomes(ledger, before);
   ledger.phase = LedgerPhase::kSealing;
 }
 
@@ -100,13 +101,14 @@
     return;
   ledger.listing.reset();
   if (const auto* read = std::get_if<StoreRead>(&answer->result)) {
-    take_listing(state, zone, ledger, *read);
+    rebuild_index(state, zone, ledger, *read);
     return;
   }
   ledger.list_after = now.mono + config::kStoreRetryInterval;
 }
 
-/// Writes the segment as sealed, which bars an earlier writer from it.
+/// Writes the segment as sealed; conditional writes of an earlier writer to it
+/// then fail.
 void seal(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
           IntentSegment& segment, Now now, Effects& effects) {
   StoreKey key = intent_segment_key(zone, segment.number);
@@ -117,8 +119,8 @@
   start_write(state, key, version_of(state.cache, key), segment, now, effects);
 }
 
-void open_next(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
-               Now now, Effects& effects) {
+void create_open_segment(core::State& state, const ZoneName& zone,
+                         ZoneLedger& ledger, Now now, Effects& effects) {
   StoreKey key = intent_segment_key(zone, ledger.open_segment);
   if (write_pending(state, key)) return;
   IntentSegment& segment = ledger.segments[ledger.open_segment];
@@ -129,7 +131,7 @@
   start_write(state, key, version_of(state.cache, key), segment, now, effects);
 }
 
-/// True once the store confirmed this writer's version of the segment.
+/// Whether the store has confirmed this writer's version of the segment.
 bool is_written(const core::State& state, const ZoneName& zone,
                 const IntentSegment& segment) {
   const auto* stored = find<IntentSegment>(
@@ -137,8 +139,8 @@
   return stored != nullptr && stored->write_id == segment.write_id;
 }
 
-bool lost_a_write(const core::State& state, const ZoneName& zone,
-                  const ZoneLedger& ledger) {
+bool has_failed_write(const core::State& state, const ZoneName& zone,
+                      const ZoneLedger& ledger) {
   return std::any_of(
       ledger.segments.begin(), ledger.segments.end(), [&](const auto& item) {
         const SettledWrite* settled =
@@ -149,7 +151,7 @@
 
 void step_sealing(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
                   Now now, Effects& effects) {
-  if (lost_a_write(state, zone, ledger)) {
+  if (has_failed_write(state, zone, ledger)) {
     ledger.phase = LedgerPhase::kListing;
     return;
   }
@@ -162,7 +164,7 @@
   if (!all_sealed) return;
   auto open = ledger.segments.find(ledger.open_segment);
   if (open == ledger.segments.end()) {
-    open_next(state, zone, ledger, now, effects);
+    create_open_segment(state, zone, ledger, now, effects);
   } else if (is_written(state, zone, open->second)) {
     ledger.phase = LedgerPhase::kReady;
   }
--- a/src/core/request/ledger_load.h
+++ b/src/core/request/ledger_load.h
@@ -10,19 +10,19 @@
 struct State;
 }
 
-/// How a ledger writer starts: it reads what every zone recorded, then makes
-/// sure that no earlier writer of its zone can record anything more.
+/// Start of a ledger writer: it reads the segments of all zones, then seals
+/// those of its own zone, so that no earlier writer can record anything more.
 namespace eelgrasspin::core::request {
 
-/// Starts to load again; intents that were being written wait.
+/// Restarts the load; intents of the pending write wait again.
 void restart_load(ZoneLedger& ledger);
 
-/// Takes the next step of a load.
+/// Advances a load that is not complete.
 void step_load(core::State& state, const ZoneName& zone, ZoneLedger& ledger,
                const Event& event, Now now, Effects& effects);
 
-/// Versions of all zone maps; a slot may have come from another zone when they
-/// change.
+/// Versions of all zone maps. If they change, a slot may have come from another
+/// zone, whose intents this ledger has to load.
 std::vector<Version> zone_map_versions(const core::State& state);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/lifecycle.cc
+++ b/src/core/request/lifecycle.cc
@@ -13,7 +13,7 @@
   if (request.stage == Stage::kQueued) remove_queued(state, request);
 }
 
-void forget(core::State& state, OpenRequest& request) {
+void erase_request(core::State& state, OpenRequest& request) {
   leave_stage(state, request);
   state.request.open.erase(request.id);
 }
@@ -30,7 +30,7 @@
   effects.push_back(RelayAnswer{request.id, request.attempt});
   end_intent(state, request, Outcome::kAnswered, answer.status);
   count_end(state, request, Outcome::kAnswered, Reason::kNone, now);
-  forget(state, request);
+  erase_request(state, request);
 }
 
 void end_refused(core::State& state, OpenRequest& request, Refusal refusal,
@@ -41,7 +41,7 @@
                                   refusal.earlier_status});
   end_intent(state, request, refusal.outcome, 0);
   count_end(state, request, refusal.outcome, refusal.reason, now);
-  forget(state, request);
+  erase_request(state, request);
 }
 
 void end_cancelled(core::State& state, OpenRequest& request, Now now,
@@ -52,16 +52,16 @@
   cancel_attempt(state, request, effects);
   end_intent(state, request, outcome, 0);
   count_end(state, request, outcome, Reason::kCancelled, now);
-  forget(state, request);
+  erase_request(state, request);
 }
 
 void cancel_attempt(core::State& state, OpenRequest& request,
                     Effects& effects) {
-  bool under_way =
+  bool has_attempt =
       request.stage == Stage::kAtServer || request.stage == Stage::kAtFront;
-  if (!under_way) return;
+  if (!has_attempt) return;
   effects.push_back(CancelAttempt{request.id, request.attempt});
-  if (request.stage == Stage::kAtServer) abandon_occupancy(state, request);
+  if (request.stage == Stage::kAtServer) abandon_attempt(state, request);
 }
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/lifecycle.h
+++ b/src/core/request/lifecycle.h
@@ -9,34 +9,37 @@
 struct State;
 }
 
-/// The ends of a request. Each function ends it exactly once and makes
-/// references to it invalid.
+/// Ways in which a request ends. Each `end_` function removes the request,
+/// which makes references to it invalid.
 namespace eelgrasspin::core::request {
 
+/// Why a request ends without an answer of its server.
 struct Refusal {
   Outcome outcome = Outcome::kNotRun;
   Reason reason = Reason::kNone;
   Duration retry_after{0};
   Epoch newer_epoch;
-  std::uint16_t earlier_status = 0;
+  std::uint16_t earlier_status = 0;  ///< With kRepeatAnswered only.
 };
 
+/// Null if the request has ended.
 OpenRequest* find_open(core::State& state, RequestId id);
 
-/// Relays the attempt's answer to whoever sent the request.
+/// Relays the attempt's answer to the sender of the request.
 void end_answered(core::State& state, OpenRequest& request,
                   const AttemptAnswered& answer, Now now, Effects& effects);
 
-/// Tells whoever sent the request that it ended without an answer. A request
-/// with an earlier attempt of unknown outcome is never told "not run".
+/// Tells the sender that the request ended without an answer. If an earlier
+/// attempt had an unknown outcome, the request ends as unknown, never as not
+/// run.
 void end_refused(core::State& state, OpenRequest& request, Refusal refusal,
                  Now now, Effects& effects);
 
-/// Whoever sent the request has gone: cancels what is under way.
+/// Ends a request whose sender has disconnected, and cancels its attempt.
 void end_cancelled(core::State& state, OpenRequest& request, Now now,
                    Effects& effects);
 
-/// Gives up on the attempt under way; at a server it counts as running until
+/// Cancels the current attempt, if any. At a server it counts as running until
 /// the service's execution limit has passed.
 void cancel_attempt(core::State& state, OpenRequest& request, Effects& effects);
 
--- a/src/core/request/load.cc
+++ b/src/core/request/load.cc
@@ -8,35 +8,35 @@
 namespace eelgrasspin::core::request {
 namespace {
 
-constexpr Duration kAgeInterval = seconds(1);
-/// Kept of a count at each interval; a steady rate settles at rate / (1 - it).
-constexpr double kKept = 0.9;
-constexpr double kForgottenBelow = 0.01;
-constexpr std::size_t kReportedSlots = 16;
-constexpr std::size_t kReportedKeys = 16;
+constexpr Duration kDecayInterval = seconds(1);
+/// A count is multiplied by it at each interval; at a constant rate per
+/// interval the count converges to rate / (1 - kDecayFactor).
+constexpr double kDecayFactor = 0.9;
+constexpr double kMinCount = 0.01;
+constexpr std::size_t kMaxReportedSlots = 16;
+constexpr std::size_t kMaxReportedKeys = 16;
 
 }  // namespace
 
 void count_load(LoadCounts& load, SlotId slot, const Key& key, Now now) {
-  age_load(load, now);
+  decay_load(load, now);
   load.slots[slot] += 1;
   ownership::add_occurrence(load.keys, key);
 }
 
-void age_load(LoadCounts& load, Now now) {
+void decay_load(LoadCounts& load, Now now) {
   if (load.decayed_at == TimePoint()) load.decayed_at = now.mono;
-  while (now.mono - load.decayed_at >= kAgeInterval) {
-    load.decayed_at += kAgeInterval;
+  while (now.mono - load.decayed_at >= kDecayInterval) {
+    load.decayed_at += kDecayInterval;
     if (load.slots.empty()) load.decayed_at = now.mono;
-    for (auto& [slot, count] : load.slots) count *= kKept;
-    std::erase_if(load.slots, [](const auto& item) {
-      return item.second < kForgottenBelow;
-    });
-    ownership::decay(load.keys, kKept);
+    for (auto& [slot, count] : load.slots) count *= kDecayFactor;
+    std::erase_if(load.slots,
+                  [](const auto& item) { return item.second < kMinCount; });
+    ownership::decay(load.keys, kDecayFactor);
   }
 }
 
-double rate_of(double count) { return count * (1 - kKept); }
+double rate_of(double count) { return count * (1 - kDecayFactor); }
 
 ServerLoad server_load(const core::State& state, const ServerName& server,
                        Now /*now*/) {
@@ -53,9 +53,9 @@
               return a.second != b.second ? a.second > b.second
                                           : a.first < b.first;
             });
-  if (load.slot_rates.size() > kReportedSlots)
-    load.slot_rates.resize(kReportedSlots);
-  for (const auto& item : ownership::top_keys(counts.keys, kReportedKeys))
+  if (load.slot_rates.size() > kMaxReportedSlots)
+    load.slot_rates.resize(kMaxReportedSlots);
+  for (const auto& item : ownership::top(counts.keys, kMaxReportedKeys))
     load.hot_keys.push_back({item.key, rate_of(item.count)});
   return load;
 }
--- a/src/core/request/load.h
+++ b/src/core/request/load.h
@@ -7,22 +7,22 @@
 #include "eelgrasspin/ids.h"
 #include "eelgrasspin/units.h"
 
-/// Load of one backend server as its front sees it, with old requests weighing
-/// less.
+/// Load of one backend server as its front sees it: request counts that decay
+/// exponentially over time.
 namespace eelgrasspin::core::request {
 
 struct LoadCounts {
-  std::map<SlotId, double> slots;
+  std::map<SlotId, double> slots;  ///< Decayed number of requests.
   ownership::Sketch keys;
   TimePoint decayed_at;
 };
 
 void count_load(LoadCounts& load, SlotId slot, const Key& key, Now now);
 
-/// Ages the counts, at most once a second.
-void age_load(LoadCounts& load, Now now);
+/// Decays the counts once for each full second since the last decay.
+void decay_load(LoadCounts& load, Now now);
 
-/// Requests per second that a count stands for.
+/// Requests per second that correspond to a decayed count.
 double rate_of(double count);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/operations.cc
+++ b/src/core/request/operations.cc
@@ -8,7 +8,7 @@
 constexpr std::string_view kKeySegment = "{key}";
 
 template <class Visit>
-bool each_segment(std::string_view path, Visit visit) {
+bool for_each_segment(std::string_view path, Visit visit) {
   if (!path.starts_with('/')) return false;
   path.remove_prefix(1);
   while (true) {
@@ -59,13 +59,13 @@
                               std::string_view path) {
   std::size_t next = 0;
   std::string_view key_text;
-  bool fits = each_segment(path, [&](std::string_view segment) {
+  bool matches = for_each_segment(path, [&](std::string_view segment) {
     if (next == operation.segments.size()) return false;
     const std::string& expected = operation.segments[next++];
     if (expected == kKeySegment) key_text = segment;
     return is_wildcard(expected) ? !segment.empty() : expected == segment;
   });
-  if (!fits || next != operation.segments.size()) return std::nullopt;
+  if (!matches || next != operation.segments.size()) return std::nullopt;
   if (key_text.empty()) return Key();
   std::optional<std::string> key = decode_key(key_text);
   if (!key) return std::nullopt;
@@ -77,7 +77,7 @@
 OperationPattern compile_operation(const Operation& operation) {
   OperationPattern pattern{
       operation.name, operation.method, operation.execution_class, {}};
-  each_segment(operation.path, [&](std::string_view segment) {
+  for_each_segment(operation.path, [&](std::string_view segment) {
     pattern.segments.emplace_back(segment);
     return true;
   });
--- a/src/core/request/operations.h
+++ b/src/core/request/operations.h
@@ -20,13 +20,13 @@
 
 struct MatchedOperation {
   const OperationPattern* operation = nullptr;
-  Key key;  ///< Percent-decoded, so that each spelling has the same owner.
+  Key key;  ///< Percent-decoded, so that every encoding has the same owner.
 };
 
 OperationPattern compile_operation(const Operation& operation);
 
-/// The first operation whose method and path pattern fit; the query is
-/// ignored. Empty if none fits or the key is malformed.
+/// The first operation whose method and path pattern match; the query is
+/// ignored. Empty if none matches or the key is malformed.
 std::optional<MatchedOperation> match_operation(
     const std::vector<OperationPattern>& operations, std::string_view method,
     std::string_view path);
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -10,11 +10,11 @@
 namespace eelgrasspin::core::request {
 namespace {
 
-constexpr std::size_t kKnownEvents = 256;
-constexpr std::size_t kReleasedEntries = 64;
+constexpr std::size_t kMaxRecentReports = 256;
+constexpr std::size_t kMaxReleasedEntries = 64;
 
-std::uint32_t listed_strikes(const std::map<ZoneName, Strikes>& zones,
-                             const ZoneName& except, Now now) {
+std::uint32_t strikes_elsewhere(const std::map<ZoneName, Strikes>& zones,
+                                const ZoneName& except, Now now) {
   std::uint32_t count = 0;
   for (const auto& [zone, strikes] : zones) {
     if (zone != except && now.wall < strikes.until) count += strikes.count;
@@ -48,32 +48,32 @@
   Quarantine& quarantine = state.request.quarantine;
   TimePoint& last =
       quarantine.last_strike[{request.server, request.fingerprint}];
-  bool same_death =
+  bool same_crash =
       last != TimePoint() && now.mono - last < config::kStrikeWindow;
   last = now.mono;
-  if (same_death) return;
+  if (same_crash) return;
   ++state.counters[Counter::kStrikes];
-  Strikes& strikes = quarantine.seen_here[request.fingerprint];
+  Strikes& strikes = quarantine.local_strikes[request.fingerprint];
   if (now.wall >= strikes.until) strikes.count = 0;
   ++strikes.count;
   strikes.until = now.wall + config::kQuarantineTime;
   report(state, request, 1, now);
 }
 
-void clear_suspicion(core::State& state, const OpenRequest& request, Now now) {
+void clear_strikes(core::State& state, const OpenRequest& request, Now now) {
   Quarantine& quarantine = state.request.quarantine;
-  bool suspected = quarantine.seen_here.erase(request.fingerprint) > 0 ||
-                   quarantine.listed.contains(request.fingerprint);
-  if (suspected) report(state, request, 0, now);
+  bool had_strikes = quarantine.local_strikes.erase(request.fingerprint) > 0 ||
+                     quarantine.listed.contains(request.fingerprint);
+  if (had_strikes) report(state, request, 0, now);
 }
 
 void send_report(core::State& state, PendingStrike& pending, Now now,
                  Effects& effects) {
   pending.sent_at = now.mono;
-  ++pending.tries;
+  ++pending.send_count;
   if (membership::coordinates(state, state.self.zone, now)) {
     on_strike_report(state, pending.report);
-    pending.tries = config::kMaxStrikeSends;
+    pending.send_count = config::kStrikeTries;
     return;
   }
   Endpoint to = membership::coordinator_address(state, state.self.zone);
@@ -85,12 +85,12 @@
 void send_reports(core::State& state, Now now, Effects& effects) {
   auto& pending = state.request.quarantine.to_report;
   for (PendingStrike& strike : pending) {
-    bool due = strike.tries == 0 ||
+    bool due = strike.send_count == 0 ||
                now.mono - strike.sent_at >= config::kStrikeResendInterval;
     if (due) send_report(state, strike, now, effects);
   }
   std::erase_if(pending, [](const PendingStrike& strike) {
-    return strike.tries >= config::kMaxStrikeSends;
+    return strike.send_count >= config::kStrikeTries;
   });
 }
 
@@ -149,17 +149,18 @@
   erase_entry(list, fingerprint);
   std::erase(list.released, fingerprint);
   list.released.push_back(fingerprint);
-  if (list.released.size() > kReleasedEntries)
+  if (list.released.size() > kMaxReleasedEntries)
     list.released.erase(list.released.begin());
 }
 
-/// Drops what the settled write has brought into the store.
-void take_settled(core::State& state, const ZoneName& zone) {
+/// Removes the reports and releases that a settled write put into the store.
+void drop_recorded(core::State& state, const ZoneName& zone) {
   Quarantine& quarantine = state.request.quarantine;
   const SettledWrite* settled = settled_write(state, quarantine_key(zone));
   if (settled == nullptr || !settled->took_effect) return;
   auto& reports = quarantine.to_record[zone];
-  std::size_t done = std::min(quarantine.recording[zone], reports.size());
+  std::size_t done =
+      std::min(quarantine.reports_in_write[zone], reports.size());
   reports.erase(reports.begin(),
                 reports.begin() + static_cast<std::ptrdiff_t>(done));
   const auto* list = find<QuarantineList>(state.cache, quarantine_key(zone));
@@ -174,7 +175,7 @@
                 Effects& effects) {
   Quarantine& quarantine = state.request.quarantine;
   StoreKey key = quarantine_key(zone);
-  take_settled(state, zone);
+  drop_recorded(state, zone);
   auto& reports = quarantine.to_record[zone];
   auto& releases = quarantine.to_release[zone];
   bool idle = reports.empty() && releases.empty();
@@ -190,18 +191,18 @@
     apply_report(state, list, strike.entry, now, effects);
   for (std::uint64_t fingerprint : releases)
     apply_release(state, list, fingerprint, now, effects);
-  quarantine.recording[zone] = reports.size();
+  quarantine.reports_in_write[zone] = reports.size();
   start_write(state, key, version_of(state.cache, key), std::move(list), now,
               effects);
 }
 
-void take_list(Quarantine& quarantine, const QuarantineList& list) {
+void merge_list(Quarantine& quarantine, const QuarantineList& list) {
   for (const QuarantineEntry& entry : list.entries)
     quarantine.listed[entry.fingerprint][list.zone] = {entry.strikes,
                                                        entry.until};
   for (std::uint64_t fingerprint : list.released) {
     bool is_new = quarantine.released.insert(fingerprint).second;
-    if (is_new) quarantine.seen_here.erase(fingerprint);
+    if (is_new) quarantine.local_strikes.erase(fingerprint);
   }
 }
 
@@ -210,24 +211,25 @@
 bool is_quarantined(const core::State& state, std::uint64_t fingerprint,
                     Now now) {
   const Quarantine& quarantine = state.request.quarantine;
-  if (quarantine.listed.empty() && quarantine.seen_here.empty()) return false;
+  if (quarantine.listed.empty() && quarantine.local_strikes.empty())
+    return false;
   std::uint32_t here = 0;
-  auto seen = quarantine.seen_here.find(fingerprint);
-  if (seen != quarantine.seen_here.end() && now.wall < seen->second.until)
+  auto seen = quarantine.local_strikes.find(fingerprint);
+  if (seen != quarantine.local_strikes.end() && now.wall < seen->second.until)
     here = seen->second.count;
   std::uint32_t elsewhere = 0;
   auto listed = quarantine.listed.find(fingerprint);
   if (listed != quarantine.listed.end()) {
-    elsewhere = listed_strikes(listed->second, state.self.zone, now);
+    elsewhere = strikes_elsewhere(listed->second, state.self.zone, now);
     here = std::max(here, strikes_in(listed->second, state.self.zone, now));
   }
   return here + elsewhere >= config::kQuarantineStrikes;
 }
 
-void note_suspect(core::State& state, const OpenRequest& request,
-                  const AttemptResult& result, Now now) {
+void update_strikes(core::State& state, const OpenRequest& request,
+                    const AttemptResult& result, Now now) {
   if (std::holds_alternative<AttemptAnswered>(result)) {
-    clear_suspicion(state, request, now);
+    clear_strikes(state, request, now);
   } else if (const auto* unknown = std::get_if<AttemptUnknown>(&result)) {
     if (unknown->connection_closed) add_strike(state, request, now);
   }
@@ -235,15 +237,15 @@
 
 void on_strike_report(core::State& state, const StrikeReport& report) {
   Quarantine& quarantine = state.request.quarantine;
-  auto& events = quarantine.known_events;
-  if (std::find(events.begin(), events.end(), report.event) != events.end())
+  auto& recent = quarantine.recent_reports;
+  if (std::find(recent.begin(), recent.end(), report.event) != recent.end())
     return;
-  events.push_back(report.event);
-  if (events.size() > kKnownEvents) events.pop_front();
+  recent.push_back(report.event);
+  if (recent.size() > kMaxRecentReports) recent.pop_front();
   quarantine.to_record[report.zone].push_back(report);
 }
 
-void order_release(core::State& state, std::uint64_t fingerprint) {
+void request_release(core::State& state, std::uint64_t fingerprint) {
   for (const auto& [zone, ledger] : state.request.ledgers)
     state.request.quarantine.to_release[zone].insert(fingerprint);
 }
@@ -252,17 +254,17 @@
   Quarantine& quarantine = state.request.quarantine;
   if (quarantine.cache_generation == state.cache.generation) return;
   quarantine.cache_generation = state.cache.generation;
-  std::vector<Version> sources;
+  std::vector<Version> source_versions;
   static const StoreKey kPrefix = quarantine_key(ZoneName());
   for_each_prefixed(state.cache, kPrefix, [&](const StoreEntry& entry) {
-    sources.push_back(entry.version);
+    source_versions.push_back(entry.version);
   });
-  if (sources == quarantine.sources) return;
-  quarantine.sources = std::move(sources);
+  if (source_versions == quarantine.source_versions) return;
+  quarantine.source_versions = std::move(source_versions);
   quarantine.listed.clear();
   for_each_prefixed(state.cache, kPrefix, [&](const StoreEntry& entry) {
     if (const auto* list = std::get_if<QuarantineList>(&entry.record))
-      take_list(quarantine, *list);
+      merge_list(quarantine, *list);
   });
 }
 
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -9,25 +9,27 @@
 struct State;
 }
 
-/// Requests that crash the backend servers that run them: strikes are shared
-/// through the zones' quarantine lists; at config::kQuarantineStrikes a request
-/// is refused until its time has passed or an operator releases it.
+/// Quarantine of requests that crash backend servers: strikes are shared
+/// through the zones' quarantine lists. A request with
+/// config::kQuarantineStrikes strikes is refused until config::kQuarantineTime
+/// has passed or an operator releases it.
 namespace eelgrasspin::core::request {
 
 bool is_quarantined(const core::State& state, std::uint64_t fingerprint,
                     Now now);
 
-/// Takes the end of an attempt at a server: a connection that died is a strike,
-/// an answer clears the suspicion.
-void note_suspect(core::State& state, const OpenRequest& request,
-                  const AttemptResult& result, Now now);
+/// Updates a request's strikes after an attempt at a server: if the connection
+/// died there is one more, an answer clears them.
+void update_strikes(core::State& state, const OpenRequest& request,
+                    const AttemptResult& result, Now now);
 
+/// Accepts a strike report as coordinator; repeats of it are ignored.
 void on_strike_report(core::State& state, const StrikeReport& report);
 
-/// Takes over changed quarantine lists from the cache.
+/// Reloads the quarantine lists from the cache if they have changed.
 void refresh_quarantine(core::State& state);
 
-/// Sends reports, and writes the lists of coordinated zones.
+/// Sends strike reports, and writes the lists of coordinated zones.
 void step_quarantine(core::State& state, Now now, Effects& effects);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/requests.cc
+++ b/src/core/request/requests.cc
@@ -41,26 +41,27 @@
     on_strike_report(state, *strike);
 }
 
-/// Handles what this daemon sends to itself until nothing is left.
-void drain_to_self(core::State& state, Now now, Effects& effects) {
-  while (!state.request.to_self.empty()) {
+/// Handles the messages from this daemon to itself until none are left.
+void deliver_to_self(core::State& state, Now now, Effects& effects) {
+  while (!state.request.messages_to_self.empty()) {
     std::vector<PeerMessage> messages =
-        std::exchange(state.request.to_self, {});
+        std::exchange(state.request.messages_to_self, {});
     for (const PeerMessage& message : messages)
       on_message(state, message, now, effects);
   }
 }
 
-/// Takes the steps that a newer map, a grant or the passing of time allows.
-void settle(core::State& state, const Event& event, bool routes_changed,
-            Now now, Effects& effects) {
+/// Advances waiting requests after a change of routes, a grant reply or a tick.
+void advance_waiting(core::State& state, const Event& event,
+                     bool routes_changed, Now now, Effects& effects) {
   bool tick = std::holds_alternative<Tick>(event);
   bool granted = std::holds_alternative<GrantReplied>(event);
-  if (tick) expire_occupancies(state, now);
+  if (tick) expire_abandoned_attempts(state, now);
   if (tick) expire_requests(state, now, effects);
   if (tick || routes_changed)
     dispatch_held(state, routes_changed, now, effects);
-  if (tick || routes_changed || granted) pump_all(state, now, effects);
+  if (tick || routes_changed || granted)
+    process_all_queues(state, now, effects);
 }
 
 std::string stage_text(Stage stage) {
@@ -92,11 +93,11 @@
     on_cancelled(state, *cancelled, now, effects);
   else if (const auto* message = std::get_if<PeerReceived>(&event))
     on_message(state, message->message, now, effects);
-  settle(state, event, routes_changed, now, effects);
+  advance_waiting(state, event, routes_changed, now, effects);
   step_ledgers(state, event, now, effects);
   flush_intents(state, now, effects);
   step_quarantine(state, now, effects);
-  drain_to_self(state, now, effects);
+  deliver_to_self(state, now, effects);
 }
 
 std::vector<OpenRequestRow> open_request_list(const core::State& state, Now now,
--- a/src/core/request/requests.h
+++ b/src/core/request/requests.h
@@ -16,17 +16,19 @@
 
 namespace eelgrasspin::core::request {
 
+/// Handles an event in the request path.
 void step(core::State& state, const Event& event, Now now, Effects& effects);
 
-/// Requests sent to a server for a slot (`key` empty) or a carved-out key, and
-/// not ended yet.
+/// Number of attempts that may be running at a server: for `key`, or if it is
+/// empty for the slot without the keys that have an owner of their own.
 std::uint32_t running(const core::State& state, const ServerName& server,
                       SlotId slot, const Key& key);
-/// Requests sent to a server and not ended yet.
+/// Number of attempts that may be running at a server.
 std::uint32_t running(const core::State& state, const ServerName& server);
+/// Number of requests that wait in the front's queue for a server.
 std::uint32_t queued(const core::State& state, const ServerName& server);
 
-/// Load of a server as its front sees it.
+/// Load of a server as its front sees it: its busiest slots and keys.
 struct ServerLoad {
   double requests_per_second = 0;
   std::vector<std::pair<SlotId, double>> slot_rates;
@@ -39,11 +41,11 @@
 std::map<ServiceName, DaemonAccount> accounts(const core::State& state,
                                               Now now);
 
-/// Lifts a quarantine in the zones this daemon coordinates. Repeats are
-/// harmless.
-void order_release(core::State& state, std::uint64_t fingerprint);
+/// Requests the release of a fingerprint in the zones that this daemon
+/// coordinates. Idempotent.
+void request_release(core::State& state, std::uint64_t fingerprint);
 
-/// An open request, for operators.
+/// An open request as shown to operators.
 struct OpenRequestRow {
   ServiceName service;
   Key key;
@@ -53,11 +55,11 @@
   Duration age{0};
   ServerName server;  ///< Empty while it has none.
 };
-/// The oldest open requests.
+/// The oldest open requests, at most `limit`.
 std::vector<OpenRequestRow> open_request_list(const core::State& state, Now now,
                                               std::size_t limit);
 
-/// Requests of any kind that have not ended.
+/// Number of open requests, from callers and forwarded.
 std::uint64_t open_requests(const core::State& state);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/routing.cc
+++ b/src/core/request/routing.cc
@@ -73,11 +73,13 @@
                    return !all.services.contains(item.first);
                  }) > 0;
   for (const auto& [name, declaration] : all.services) {
-    std::vector<Version> sources = service_sources(cache, all, name);
+    std::vector<Version> source_versions = service_sources(cache, all, name);
     auto it = table.services.find(name);
-    if (it != table.services.end() && it->second.sources == sources) continue;
+    if (it != table.services.end() &&
+        it->second.source_versions == source_versions)
+      continue;
     ServiceRoutes routes = build_service(cache, declaration);
-    routes.sources = std::move(sources);
+    routes.source_versions = std::move(source_versions);
     table.services[name] = std::move(routes);
     changed = true;
   }
@@ -86,9 +88,9 @@
 
 bool refresh_fronts(RoutingTable& table, const Cache& cache,
                     const Declarations& all) {
-  std::vector<Version> sources = roster_versions(cache, all);
-  if (sources == table.front_sources) return false;
-  table.front_sources = std::move(sources);
+  std::vector<Version> source_versions = roster_versions(cache, all);
+  if (source_versions == table.front_source_versions) return false;
+  table.front_source_versions = std::move(source_versions);
   table.fronts.clear();
   for (const auto& [zone, declaration] : all.zones) {
     const ZoneRoster* members = roster(cache, zone);
--- a/src/core/request/routing.h
+++ b/src/core/request/routing.h
@@ -14,39 +14,41 @@
 
 namespace eelgrasspin::core::request {
 
-/// Recorded owner of a slot or of a carved-out key.
+/// Recorded owner of a slot, or of a key with an owner of its own.
 struct Owner {
   ServerName server;
   Epoch epoch;
   SlotPhase phase = SlotPhase::kUnassigned;
 };
 
-/// The daemon that is the front of a backend server.
+/// The front of a backend server.
 struct FrontAddress {
   DaemonName daemon;
   Endpoint endpoint;
 };
 
-/// What routing needs of one service.
+/// Routing data of one service.
 struct ServiceRoutes {
   ServiceDeclaration declaration;
   std::vector<OperationPattern> operations;
   std::vector<Owner> slots;
-  std::unordered_map<Key, Owner> overrides;
-  std::vector<Version> sources;  ///< Versions of the values it was built from.
+  std::unordered_map<Key, Owner> overrides;  ///< Keys with their own owner.
+  std::vector<Version>
+      source_versions;  ///< Versions of the values it was built from.
 };
 
 /// Owners and fronts by service, slot and server; rebuilt from the cache.
 struct RoutingTable {
   std::map<ServiceName, ServiceRoutes> services;
   std::unordered_map<ServerName, FrontAddress> fronts;
-  std::vector<Version> front_sources;
+  std::vector<Version> front_source_versions;
   std::uint64_t cache_generation = 0;
   bool built = false;
   bool declarations_known = false;
 };
 
-/// Rebuilds what the cache has changed. True if any route may differ.
+/// Rebuilds the parts whose source values in the cache have changed. True if
+/// any route may differ.
 bool refresh_routing(RoutingTable& table, const Cache& cache);
 
 const ServiceRoutes* find_service(const RoutingTable& table,
@@ -54,7 +56,7 @@
 
 struct Route {
   const Owner* owner = nullptr;  ///< Null: no owner is recorded.
-  bool carved_out = false;
+  bool is_override = false;      ///< The key has an owner of its own.
 };
 
 Route find_route(const ServiceRoutes& routes, SlotId slot, const Key& key);
--- a/src/core/request/state.h
+++ b/src/core/request/state.h
@@ -16,25 +16,26 @@
 #include "eelgrasspin/request.h"
 #include "eelgrasspin/units.h"
 
-/// The life of requests: routing, queues, retries, at-most-once, quarantine,
-/// accounts.
+/// State of the request path: routing, queues, retries, at-most-once intents,
+/// quarantine and accounts.
 namespace eelgrasspin::core::request {
 
-/// Where an open request is.
+/// The stage of an open request.
 enum class Stage : std::uint8_t {
-  kHeld,         ///< At its entry, without a usable owner.
+  kHeld,         ///< At its entry: no usable owner yet, or awaiting a retry.
   kQueued,       ///< In the queue of a backend server's front.
   kAtServer,     ///< Sent to the backend server.
   kAtFront,      ///< Sent to the daemon that is the owner's front.
-  kWithdrawing,  ///< Left its queue; the ledger is told that it did not run.
+  kWithdrawing,  ///< Left its queue unsent; waits until its ledger has recorded
+                 ///< that it did not run.
 };
 
-/// How far the record of an at-most-once intent is.
+/// Progress of recording an at-most-once intent.
 enum class IntentPhase : std::uint8_t {
   kNotNeeded,
-  kWanted,    ///< Waits for the next batch.
-  kAsked,     ///< In a batch whose verdict is awaited.
-  kRecorded,  ///< Confirmed by the store.
+  kPending,    ///< Waits for the next batch.
+  kSubmitted,  ///< In a batch whose verdict is awaited.
+  kRecorded,   ///< In the store.
 };
 
 /// A request that has not ended.
@@ -42,15 +43,15 @@
   RequestId id;
   RequestHead head;
   bool from_caller = true;
-  ServerName named_server;  ///< Set for a forwarded one: the server it is for.
-  /// Service whose book counts it; empty for services that are not declared,
-  /// so that callers cannot make the books grow.
-  ServiceName book;
+  ServerName target_server;  ///< Set if forwarded: the server it is for.
+  /// Service under which it is counted; empty if the service is not declared,
+  /// so that callers cannot make the statistics grow.
+  ServiceName stats_service;
   std::string operation;
   ExecutionClass execution_class = ExecutionClass::kAtMostOnce;
   Key key;
   SlotId slot;
-  std::uint64_t fingerprint = 0;
+  std::uint64_t fingerprint = 0;  ///< crash_fingerprint() of the request.
   TimePoint arrived;
   TimePoint deadline;
   Stage stage = Stage::kHeld;
@@ -59,52 +60,54 @@
   std::uint32_t attempts = 0;
   bool maybe_ran = false;  ///< An earlier attempt ended unknown.
   TimePoint sent_at;       ///< Of the attempt under way.
-  TimePoint try_after;     ///< Held: earliest next look without a newer map.
+  TimePoint try_after;  ///< While held: earliest dispatch without a newer map.
   Reason last_refusal = Reason::kNone;  ///< Why the last attempt did not run.
   IntentPhase intent = IntentPhase::kNotNeeded;
-  std::uint64_t ticket = 0;  ///< Of its recorded intent.
+  std::uint64_t ticket = 0;  ///< Unique id of its intent.
 };
 
-/// One request that a backend server may be working on.
-struct Occupancy {
+/// An attempt that the backend server may still be executing.
+struct SentAttempt {
   SlotId slot;
   Key key;
-  bool carved_out = false;  ///< Sent under the key's own ownership.
+  bool is_override =
+      false;  ///< Sent under the key's own record, not its slot's.
   TimePoint sent_at;
-  /// Set once the answer is no longer awaited: the server has given up by then.
-  std::optional<TimePoint> until;
+  /// Set once the answer is no longer awaited: end of the execution limit, when
+  /// the server has stopped working on it.
+  std::optional<TimePoint> counted_until;
 };
 
-/// Queue of the front of one backend server.
+/// A front's queue for one backend server.
 struct FrontQueue {
   std::map<CallerName, std::deque<RequestId>> waiting;  ///< In arrival order.
   CallerName last_served;
   std::uint32_t size = 0;
-  std::map<AttemptId, Occupancy> occupied;
-  TimePoint paused_until;  ///< After a refused connection.
-  Duration mean_work{0};   ///< Moving average from send to answer.
+  std::map<AttemptId, SentAttempt> sent_attempts;
+  TimePoint paused_until;         ///< Nothing is sent before then.
+  Duration mean_service_time{0};  ///< Moving average, from send to answer.
   LoadCounts load;
 };
 
-/// Counts and retry budget of one service at this entry.
-struct ServiceBook {
+/// Counts and retry budget of one service for the requests that entered here.
+struct ServiceStats {
   OutcomeCounts counts;
-  std::deque<RefusalSample> samples;  ///< Newest last.
-  std::uint64_t retry_credit = 0;     ///< In percent of one retry.
+  std::deque<RefusalSample> samples;       ///< Newest last.
+  std::uint64_t retry_credit_percent = 0;  ///< 100 allow one retry.
 };
 
 struct State {
   RoutingTable routing;
   std::map<RequestId, OpenRequest> open;
-  std::uint64_t held = 0;
+  std::uint64_t held = 0;  ///< Number of open requests in Stage::kHeld.
   std::map<ServerName, FrontQueue> queues;
-  std::map<ServiceName, ServiceBook> books;
+  std::map<ServiceName, ServiceStats> service_stats;
   std::uint64_t next_attempt = 1;
   IntentClient intents;
   std::map<ZoneName, ZoneLedger> ledgers;
   Quarantine quarantine;
-  /// Messages of this daemon to itself, handled within the same event.
-  std::vector<PeerMessage> to_self;
+  /// Messages from this daemon to itself, handled within the same event.
+  std::vector<PeerMessage> messages_to_self;
 };
 
 }  // namespace eelgrasspin::core::request
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -69,7 +69,7 @@
     fingerprint = listed.begin()->first;
   }
   for (const DaemonName& daemon : kDaemons)
-    core::request::order_release(world.daemons.at(daemon).state, fingerprint);
+    core::request::request_release(world.daemons.at(daemon).state, fingerprint);
   run_for(world, seconds(3));
   Serial harmless = send_request(world, kDaemons[3], head);
   run_for(world, seconds(2));
