--- a/src/core/operator/accounts.h
+++ b/src/core/operator/accounts.h
@@ -11,20 +11,22 @@
 struct State;
 }
 
-/// Accounts of a zone's daemons in the store, so that a daemon's loss leaves
-/// the report with its last one heard.
+/// Accounts of a zone's daemons in the store, so that the closing report still
+/// has the last received account of a lost daemon.
 namespace eelgrasspin::core::operators {
 
-/// Loads, merges and writes the books of each zone this daemon coordinates.
+/// Loads, updates and writes the accounts of the zones that this daemon
+/// coordinates.
 void step_accounts(core::State& state, const Event& event, Now now,
                    Effects& effects);
 
-/// Accounts known for a service in a coordinated zone, lost daemons included;
-/// empty until the book is loaded.
+/// Known accounts of a service in a coordinated zone, lost daemons included.
+/// Incomplete until accounts_loaded().
 std::vector<DaemonAccount> accounts_of(const core::State& state,
                                        const ServiceName& service,
                                        const ZoneName& zone);
-/// Whether the stored book has been read, so that accounts_of is complete.
+/// Whether the stored accounts have been read, so that accounts_of() is
+/// complete.
 bool accounts_loaded(const core::State& state, const ServiceName& service,
                      const ZoneName& zone);
 
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -18,7 +18,7 @@
   return static_cast<ClosureStep>(static_cast<int>(step) + 1);
 }
 
-ClosureStep reached_by(const Closure& closure, const ZoneName& zone) {
+ClosureStep step_of_zone(const Closure& closure, const ZoneName& zone) {
   auto it = closure.zones.find(zone);
   return it == closure.zones.end() ? ClosureStep::kAnnounced : it->second;
 }
@@ -28,8 +28,8 @@
          closure.step != ClosureStep::kCancelled;
 }
 
-/// Requests of the service that were in flight when the zone's daemons were
-/// last heard.
+/// Requests of the service in flight, by the last accounts received from the
+/// zone's daemons.
 std::uint64_t in_flight(const core::State& state, const ServiceName& service) {
   std::uint64_t sum = 0;
   for (const auto& [daemon, received] : membership::received_accounts(state)) {
@@ -39,28 +39,29 @@
   return sum;
 }
 
-bool all_heard_lately(const core::State& state, Now now) {
-  const auto& received = membership::received_accounts(state);
-  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
-    return now.mono - entry.second.received < config::kDaemonLostAfter;
+bool all_heard_recently(const core::State& state, Now now) {
+  const auto& heard = membership::heard_accounts(state);
+  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
+    return now.mono - entry.second.heard < config::kDaemonLostAfter;
   });
 }
 
-bool all_know(const core::State& state, Version announced) {
-  const auto& received = membership::received_accounts(state);
-  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
+bool all_have_read(const core::State& state, Version announced) {
+  const auto& heard = membership::heard_accounts(state);
+  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
     return entry.second.cache_revision >= announced;
   });
 }
 
 ClosurePart make_part(core::State& state, const Closure& closure,
                       const ZoneName& zone, Now now) {
-  const ZoneClosing& closing = state.operators.closings[{closure.id, zone}];
+  const ZoneClosureProgress& progress =
+      state.operators.zone_closures[{closure.id, zone}];
   ClosurePart part{
       .service = closure.service, .zone = zone, .closure = closure.id};
   part.step = ClosureStep::kRevoked;
   part.reached = now.wall;
-  part.in_flight_at = closing.in_flight_at;
+  part.in_flight_at = progress.in_flight_at;
   part.slots_owned = ownership::owned_units(state, closure.service, zone);
   part.accounts = accounts_of(state, closure.service, zone);
   const auto& received = membership::received_accounts(state);
@@ -75,48 +76,52 @@
 }
 
 /// Writes the zone's part; true once it is in the store.
-bool part_stored(core::State& state, const Closure& closure,
-                 const ZoneName& zone, Now now, Effects& effects) {
-  ZoneClosing& closing = state.operators.closings[{closure.id, zone}];
+bool store_part(core::State& state, const Closure& closure,
+                const ZoneName& zone, Now now, Effects& effects) {
+  ZoneClosureProgress& progress =
+      state.operators.zone_closures[{closure.id, zone}];
   StoreKey key = closure_part_key(closure.service, zone);
-  if (closing.stored && closing.stored->closure == closure.id) return true;
+  if (progress.stored && progress.stored->closure == closure.id) return true;
   if (!accounts_loaded(state, closure.service, zone) ||
       write_pending(state, key))
     return false;
-  if (!closing.part_version) {
-    if (closing.part_read) return false;
-    closing.part_read = next_store_op(state);
+  if (!progress.part_version) {
+    if (progress.part_read) return false;
+    progress.part_read = next_store_op(state);
     ++state.counters[Counter::kStoreReads];
-    effects.push_back(StoreGet{*closing.part_read, key});
+    effects.push_back(StoreGet{*progress.part_read, key});
     return false;
   }
-  start_write(state, key, *closing.part_version,
+  start_write(state, key, *progress.part_version,
               make_part(state, closure, zone, now), now, effects);
   return false;
 }
 
-bool step_reached(core::State& state, const Closure& closure,
-                  const ZoneName& zone, ClosureStep goal, Now now,
-                  Effects& effects) {
-  const ZoneClosing& closing = state.operators.closings[{closure.id, zone}];
+bool has_reached(core::State& state, const Closure& closure,
+                 const ZoneName& zone, ClosureStep goal, Now now,
+                 Effects& effects) {
+  const ZoneClosureProgress& progress =
+      state.operators.zone_closures[{closure.id, zone}];
   switch (goal) {
     case ClosureStep::kAdmissionStopped:
-      return all_know(state, closing.announced);
+      return all_have_read(state, progress.announced);
     case ClosureStep::kDrained:
       if (now.wall >= closure.deadline) return true;
-      return all_heard_lately(state, now) &&
+      return all_heard_recently(state, now) &&
              in_flight(state, closure.service) == 0;
     case ClosureStep::kRevoked:
       return ownership::owned_units(state, closure.service, zone) == 0;
     case ClosureStep::kSealed:
-      return part_stored(state, closure, zone, now, effects);
+      return store_part(state, closure, zone, now, effects);
     default:
       return false;
   }
 }
 
-/// Whether a zone's coordinator has shown no sign of life for long.
-bool is_silent(const core::State& state, const ZoneName& zone, Now now) {
+/// Whether a zone's coordinator lease has not changed for
+/// config::kZoneSilentAfter.
+bool coordinator_timed_out(const core::State& state, const ZoneName& zone,
+                           Now now) {
   auto it = state.operators.leases.find(zone);
   return it == state.operators.leases.end() ||
          now.mono - it->second.changed > config::kClosureZoneTimeout;
@@ -125,16 +130,16 @@
 void advance(core::State& state, Closure& closure, Now now) {
   ClosureStep goal = next(closure.step);
   const Declarations* all = declarations(state.cache);
-  bool overdue = now.wall >= closure.deadline + config::kClosureZoneTimeout;
-  std::vector<ZoneName> passed_over;
+  bool overdue = now.wall >= closure.deadline + config::kZoneSilentAfter;
+  std::vector<ZoneName> skipped;
   for (const auto& [zone, unused] : all->zones) {
-    if (reached_by(closure, zone) >= goal) continue;
-    if (!overdue || !is_silent(state, zone, now)) return;
-    passed_over.push_back(zone);
+    if (step_of_zone(closure, zone) >= goal) continue;
+    if (!overdue || !coordinator_timed_out(state, zone, now)) return;
+    skipped.push_back(zone);
   }
   closure.step = goal;
-  for (const ZoneName& zone : passed_over) {
-    auto& known = closure.not_reported;
+  for (const ZoneName& zone : skipped) {
+    auto& known = closure.not_heard;
     if (std::find(known.begin(), known.end(), zone) == known.end())
       known.push_back(zone);
   }
@@ -143,8 +148,9 @@
   closure.seal = seal_of(closure);
 }
 
-void note_step(core::State& state, const Closure& closure, const ZoneName& zone,
-               ClosureStep goal, Now now, Effects& effects) {
+void record_step(core::State& state, const Closure& closure,
+                 const ZoneName& zone, ClosureStep goal, Now now,
+                 Effects& effects) {
   record(state,
          {.zone = zone,
           .kind = TimelineKind::kClosureStep,
@@ -159,18 +165,19 @@
   StoreKey key = closure_key(known.service);
   if (write_pending(state, key)) return;
   Closure closure = known;
-  ZoneClosing& closing = state.operators.closings[{closure.id, zone}];
-  if (closing.announced.value == 0)
-    closing.announced = version_of(state.cache, key);
-  ClosureStep goal = next(reached_by(closure, zone));
+  ZoneClosureProgress& progress =
+      state.operators.zone_closures[{closure.id, zone}];
+  if (progress.announced.value == 0)
+    progress.announced = version_of(state.cache, key);
+  ClosureStep goal = next(step_of_zone(closure, zone));
   if (goal <= next(closure.step) &&
-      step_reached(state, closure, zone, goal, now, effects)) {
-    closing.in_flight_at[goal] = in_flight(state, closure.service);
+      has_reached(state, closure, zone, goal, now, effects)) {
+    progress.in_flight_at[goal] = in_flight(state, closure.service);
     closure.zones[zone] = goal;
     if (goal == ClosureStep::kSealed)
       closure.part_hashes[zone.str()] =
-          hash_sections(part_sections(*closing.stored));
-    note_step(state, closure, zone, goal, now, effects);
+          hash_sections(part_sections(*progress.stored));
+    record_step(state, closure, zone, goal, now, effects);
   }
   advance(state, closure, now);
   if (closure == known) return;
@@ -179,39 +186,39 @@
 }
 
 void on_answer(core::State& state, const StoreAnswered& answer) {
-  for (auto& [id, closing] : state.operators.closings) {
-    if (closing.part_read != answer.op) continue;
-    closing.part_read.reset();
+  for (auto& [id, progress] : state.operators.zone_closures) {
+    if (progress.part_read != answer.op) continue;
+    progress.part_read.reset();
     const auto* read = std::get_if<StoreRead>(&answer.result);
     if (read == nullptr || read->entries.empty()) return;
-    closing.part_version = read->entries.front().version;
+    progress.part_version = read->entries.front().version;
     if (const auto* part =
             std::get_if<ClosurePart>(&read->entries.front().record))
-      closing.stored = *part;
+      progress.stored = *part;
     return;
   }
 }
 
 void on_settled(core::State& state) {
-  for (auto& [id, closing] : state.operators.closings) {
+  for (auto& [id, progress] : state.operators.zone_closures) {
     for (const SettledWrite& write : state.writer.settled) {
       const auto* part = find<ClosurePart>(state.cache, write.key);
       if (part == nullptr || part->zone != id.second) continue;
-      closing.part_version = version_of(state.cache, write.key);
-      if (part->closure == id.first) closing.stored = *part;
+      progress.part_version = version_of(state.cache, write.key);
+      if (part->closure == id.first) progress.stored = *part;
     }
   }
 }
 
-void note_leases(core::State& state, Now now) {
+void observe_leases(core::State& state, Now now) {
   const Declarations* all = declarations(state.cache);
   for (const auto& [zone, unused] : all->zones) {
     Version version = version_of(state.cache, coordinator_lease_key(zone));
-    LeaseSight& sight = state.operators.leases[zone];
-    if (sight.version == version &&
-        sight.changed.time_since_epoch().count() != 0)
+    LeaseObservation& observation = state.operators.leases[zone];
+    if (observation.version == version &&
+        observation.changed.time_since_epoch().count() != 0)
       continue;
-    sight = {version, now.mono};
+    observation = {version, now.mono};
   }
 }
 
@@ -225,7 +232,7 @@
   if (!std::holds_alternative<Tick>(event) ||
       declarations(state.cache) == nullptr)
     return;
-  note_leases(state, now);
+  observe_leases(state, now);
   std::vector<Closure> under_way;
   for_each_prefixed(state.cache, StoreKey("live/closure/"),
                     [&](const StoreEntry& entry) {
--- a/src/core/operator/closures.h
+++ b/src/core/operator/closures.h
@@ -8,15 +8,16 @@
 struct State;
 }
 
-/// Closing a service: admission stopped, drained, revoked, sealed.
+/// Closing a service, in steps: admission stopped, drained, revoked, sealed.
 ///
 /// Closure::step is the last step that every zone has reached. Each zone's
 /// coordinator works towards the next one and writes its zone's step into the
 /// closure; the write that completes a step for all zones also advances the
-/// closure. A zone that has not been heard by the deadline is listed and passed
-/// over.
+/// closure. Once the deadline has passed by config::kZoneSilentAfter, a zone
+/// whose coordinator has timed out is skipped and listed in Closure::not_heard.
 namespace eelgrasspin::core::operators {
 
+/// Advances the closures that are under way.
 void step_closures(core::State& state, const Event& event, Now now,
                    Effects& effects);
 
--- a/src/core/operator/commands.cc
+++ b/src/core/operator/commands.cc
@@ -14,21 +14,21 @@
 namespace eelgrasspin::core::operators {
 namespace {
 
-/// How a step of an order ended; empty while it is under way or somebody
-/// else's.
-using Step = std::optional<std::pair<CommandState, std::string>>;
+/// Final state and result of a command; empty while it is not finished or if
+/// another daemon is responsible for it.
+using Completion = std::optional<std::pair<CommandState, std::string>>;
 
-Step done(std::string result) {
+Completion done(std::string result) {
   return std::pair{CommandState::kDone, std::move(result)};
 }
-Step refused(std::string why) {
-  return std::pair{CommandState::kRefused, std::move(why)};
+Completion refused(std::string reason) {
+  return std::pair{CommandState::kRefused, std::move(reason)};
 }
-Step lost(std::string why) {
-  return std::pair{CommandState::kLostToConflict, std::move(why)};
+Completion lost_to_conflict(std::string reason) {
+  return std::pair{CommandState::kLostToConflict, std::move(reason)};
 }
 
-bool finished(const CommandRecord& record) {
+bool is_finished(const CommandRecord& record) {
   return record.state != CommandState::kPending &&
          record.state != CommandState::kRunning;
 }
@@ -37,36 +37,37 @@
   return !membership::coordinated_zones(state, now).empty();
 }
 
-std::optional<std::string> unknown_server(const core::State& state,
-                                          const ServerName& server) {
+/// The checks return the error text, or nothing if there is no error.
+std::optional<std::string> check_server(const core::State& state,
+                                        const ServerName& server) {
   if (server_declaration(state.cache, server) != nullptr) return std::nullopt;
   return "no server " + server.str() + " is declared";
 }
 
-std::optional<std::string> unknown_service(const core::State& state,
-                                           const ServiceName& service) {
+std::optional<std::string> check_service(const core::State& state,
+                                         const ServiceName& service) {
   if (service_declaration(state.cache, service) != nullptr) return std::nullopt;
   return "no service " + service.str() + " is declared";
 }
 
-std::optional<std::string> unknown_zone(const core::State& state,
-                                        const ZoneName& zone) {
+std::optional<std::string> check_zone(const core::State& state,
+                                      const ZoneName& zone) {
   const Declarations* all = declarations(state.cache);
   if (all != nullptr && all->zones.contains(zone)) return std::nullopt;
   return "no zone " + zone.str() + " is declared";
 }
 
-std::optional<std::string> wrong_move(const core::State& state,
+std::optional<std::string> check_move(const core::State& state,
                                       const MoveCommand& move) {
   const ServiceDeclaration* service =
       service_declaration(state.cache, move.service);
-  if (service == nullptr) return unknown_service(state, move.service);
+  if (service == nullptr) return check_service(state, move.service);
   if (move.slot && move.slot->value >= service->key_slots) {
     return "service " + move.service.str() + " has slots 0 to " +
            std::to_string(service->key_slots - 1);
   }
-  if (!move.zone.empty()) return unknown_zone(state, move.zone);
-  if (auto wrong = unknown_server(state, move.server)) return wrong;
+  if (!move.zone.empty()) return check_zone(state, move.zone);
+  if (auto problem = check_server(state, move.server)) return problem;
   if (server_declaration(state.cache, move.server)->service != move.service) {
     return "server " + move.server.str() + " does not serve " +
            move.service.str();
@@ -74,8 +75,8 @@
   return std::nullopt;
 }
 
-std::optional<std::string> unknown_daemon(const core::State& state,
-                                          const DaemonName& daemon) {
+std::optional<std::string> check_daemon(const core::State& state,
+                                        const DaemonName& daemon) {
   bool found = false;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
@@ -91,24 +92,24 @@
   return "no daemon " + daemon.str() + " is on a roster";
 }
 
-/// Why an order cannot be meant; empty when it can.
-std::optional<std::string> wrong_names(const core::State& state,
+/// Checks that the names in a command are known.
+std::optional<std::string> check_names(const core::State& state,
                                        const Command& command) {
   if (const auto* move = std::get_if<MoveCommand>(&command))
-    return wrong_move(state, *move);
+    return check_move(state, *move);
   if (const auto* drain = std::get_if<DrainCommand>(&command))
-    return unknown_server(state, drain->server);
+    return check_server(state, drain->server);
   if (const auto* undrain = std::get_if<UndrainCommand>(&command))
-    return unknown_server(state, undrain->server);
+    return check_server(state, undrain->server);
   if (const auto* close = std::get_if<CloseCommand>(&command))
-    return unknown_service(state, close->service);
+    return check_service(state, close->service);
   if (const auto* cancel = std::get_if<CancelClosureCommand>(&command))
-    return unknown_service(state, cancel->service);
+    return check_service(state, cancel->service);
   if (const auto* stop = std::get_if<StopDaemonCommand>(&command))
-    return unknown_daemon(state, stop->daemon);
+    return check_daemon(state, stop->daemon);
   if (const auto* fence = std::get_if<FenceCommand>(&command)) {
-    return fence->zone.empty() ? unknown_daemon(state, fence->daemon)
-                               : unknown_zone(state, fence->zone);
+    return fence->zone.empty() ? check_daemon(state, fence->daemon)
+                               : check_zone(state, fence->zone);
   }
   return std::nullopt;
 }
@@ -129,26 +130,27 @@
     error = Error{ErrorCode::kRefused, record.result};
   if (record.state == CommandState::kLostToConflict)
     error = Error{ErrorCode::kConflict, record.result};
-  std::string message = finished(record) ? record.result : "accepted";
+  std::string message = is_finished(record) ? record.result : "accepted";
   reply(effects, call, record.id, std::move(message), std::move(error));
 }
 
-Step step_move(core::State& state, const CommandRecord& record,
-               const MoveCommand& move, Now now, Effects& effects) {
+Completion execute_move(core::State& state, const CommandRecord& record,
+                        const MoveCommand& move, Now now, Effects& effects) {
   Result<std::string> result = ownership::order_move(state, move, now, effects);
   if (ok(result)) {
     if (value(result) == "done") return done("moved");
     return std::nullopt;
   }
-  const Error& why = error(result);
-  if (why.code == ErrorCode::kUnavailable) return std::nullopt;
-  if (why.code == ErrorCode::kConflict) return lost(why.message);
+  const Error& failure = error(result);
+  if (failure.code == ErrorCode::kUnavailable) return std::nullopt;
+  if (failure.code == ErrorCode::kConflict)
+    return lost_to_conflict(failure.message);
   (void)record;
-  return refused(why.message);
+  return refused(failure.message);
 }
 
-Step step_drain(core::State& state, const CommandRecord& record,
-                const DrainCommand& drain, Now now, Effects& effects) {
+Completion execute_drain(core::State& state, const CommandRecord& record,
+                         const DrainCommand& drain, Now now, Effects& effects) {
   const ServerDeclaration* server =
       server_declaration(state.cache, drain.server);
   if (server == nullptr) return refused("the server is no longer declared");
@@ -158,15 +160,15 @@
   if (plan != nullptr && plan->id == record.id.str())
     return done("drain ordered");
   if (plan != nullptr && !plan->cancelled)
-    return lost("already draining by command " + plan->id);
+    return lost_to_conflict("already being drained by command " + plan->id);
   if (write_pending(state, key)) return std::nullopt;
-  DrainPlan ordered{.id = record.id.str(),
-                    .server = drain.server,
-                    .ordered_by = record.ordered_by,
-                    .ordered = record.ordered,
-                    .within = drain.within,
-                    .write_id = new_write_id(state)};
-  start_write(state, key, version_of(state.cache, key), ordered, now, effects);
+  DrainPlan new_plan{.id = record.id.str(),
+                     .server = drain.server,
+                     .ordered_by = record.ordered_by,
+                     .ordered = record.ordered,
+                     .within = drain.within,
+                     .write_id = new_write_id(state)};
+  start_write(state, key, version_of(state.cache, key), new_plan, now, effects);
   core::record(state,
                {.kind = TimelineKind::kDrainStarted,
                 .server = drain.server,
@@ -175,8 +177,8 @@
   return std::nullopt;
 }
 
-Step step_undrain(core::State& state, const UndrainCommand& undrain, Now now,
-                  Effects& effects) {
+Completion execute_undrain(core::State& state, const UndrainCommand& undrain,
+                           Now now, Effects& effects) {
   const ServerDeclaration* server =
       server_declaration(state.cache, undrain.server);
   if (server == nullptr) return refused("the server is no longer declared");
@@ -185,7 +187,7 @@
   const auto* plan = find<DrainPlan>(state.cache, key);
   if (plan == nullptr || plan->cancelled) {
     membership::set_server_status(state, undrain.server, ServerStatus::kActive);
-    return done("the server takes slots again");
+    return done("the server can be assigned slots again");
   }
   if (write_pending(state, key)) return std::nullopt;
   DrainPlan cancelled = *plan;
@@ -196,17 +198,18 @@
   return std::nullopt;
 }
 
-Step step_close(core::State& state, const CommandRecord& record,
-                const CloseCommand& close, Now now, Effects& effects) {
+Completion execute_close(core::State& state, const CommandRecord& record,
+                         const CloseCommand& close, Now now, Effects& effects) {
   if (!is_coordinator(state, now)) return std::nullopt;
   StoreKey key = closure_key(close.service);
   const auto* closure = find<Closure>(state.cache, key);
   if (closure != nullptr && closure->id == record.id.str())
     return done("closure announced");
   if (closure != nullptr && closure->step != ClosureStep::kCancelled) {
-    return lost("command " + closure->id + " of " + closure->ordered_by.str() +
-                " already closes it, now " +
-                std::string(to_string(closure->step)));
+    return lost_to_conflict("command " + closure->id + " of " +
+                            closure->ordered_by.str() +
+                            " is already closing the service, step: " +
+                            std::string(to_string(closure->step)));
   }
   if (write_pending(state, key)) return std::nullopt;
   Closure announced{.service = close.service,
@@ -221,8 +224,9 @@
   return std::nullopt;
 }
 
-Step step_cancel(core::State& state, const CancelClosureCommand& cancel,
-                 Now now, Effects& effects) {
+Completion execute_cancel(core::State& state,
+                          const CancelClosureCommand& cancel, Now now,
+                          Effects& effects) {
   if (!is_coordinator(state, now)) return std::nullopt;
   StoreKey key = closure_key(cancel.service);
   const auto* closure = find<Closure>(state.cache, key);
@@ -231,7 +235,7 @@
   if (closure->step == ClosureStep::kCancelled)
     return done("closure cancelled");
   if (closure->step == ClosureStep::kSealed)
-    return lost("the closure is sealed");
+    return lost_to_conflict("the closure is sealed");
   if (write_pending(state, key)) return std::nullopt;
   Closure cancelled = *closure;
   cancelled.step = ClosureStep::kCancelled;
@@ -241,8 +245,9 @@
   return std::nullopt;
 }
 
-Step step_stop(core::State& state, const CommandRecord& record,
-               const StopDaemonCommand& stop, Now now, Effects& effects) {
+Completion execute_stop(core::State& state, const CommandRecord& record,
+                        const StopDaemonCommand& stop, Now now,
+                        Effects& effects) {
   if (stop.daemon != state.self.name) return std::nullopt;
   if (!state.stopping) {
     state.stopping = true;
@@ -254,57 +259,58 @@
   return done("the daemon is stopping");
 }
 
-Step step(core::State& state, const CommandRecord& record, Now now,
-          Effects& effects) {
+Completion execute(core::State& state, const CommandRecord& record, Now now,
+                   Effects& effects) {
   const Command& command = record.command;
   if (const auto* move = std::get_if<MoveCommand>(&command))
-    return step_move(state, record, *move, now, effects);
+    return execute_move(state, record, *move, now, effects);
   if (const auto* drain = std::get_if<DrainCommand>(&command))
-    return step_drain(state, record, *drain, now, effects);
+    return execute_drain(state, record, *drain, now, effects);
   if (const auto* undrain = std::get_if<UndrainCommand>(&command))
-    return step_undrain(state, *undrain, now, effects);
+    return execute_undrain(state, *undrain, now, effects);
   if (const auto* close = std::get_if<CloseCommand>(&command))
-    return step_close(state, record, *close, now, effects);
+    return execute_close(state, record, *close, now, effects);
   if (const auto* cancel = std::get_if<CancelClosureCommand>(&command)) {
-    return step_cancel(state, *cancel, now, effects);
+    return execute_cancel(state, *cancel, now, effects);
   }
   if (const auto* stop = std::get_if<StopDaemonCommand>(&command))
-    return step_stop(state, record, *stop, now, effects);
+    return execute_stop(state, record, *stop, now, effects);
   return std::nullopt;
 }
 
-struct OpenOrder {
+struct UnfinishedCommand {
   Version version;
   CommandRecord record;
 };
 
-/// Unfinished orders, the earliest in the store first.
-std::vector<OpenOrder> open_orders(const core::State& state) {
-  std::vector<OpenOrder> open;
+/// Unfinished commands, ordered by their version in the store.
+std::vector<UnfinishedCommand> unfinished_commands(const core::State& state) {
+  std::vector<UnfinishedCommand> unfinished;
   for_each_prefixed(
       state.cache, StoreKey("live/command/"), [&](const StoreEntry& entry) {
         const auto* record = std::get_if<CommandRecord>(&entry.record);
-        if (record != nullptr && !finished(*record))
-          open.push_back({entry.version, *record});
+        if (record != nullptr && !is_finished(*record))
+          unfinished.push_back({entry.version, *record});
       });
-  std::sort(open.begin(), open.end(),
+  std::sort(unfinished.begin(), unfinished.end(),
             [](const auto& a, const auto& b) { return a.version < b.version; });
-  return open;
+  return unfinished;
 }
 
-void finish(core::State& state, const OpenOrder& order,
-            const std::pair<CommandState, std::string>& end, Now now,
+void finish(core::State& state, const UnfinishedCommand& command,
+            const std::pair<CommandState, std::string>& completion, Now now,
             Effects& effects) {
-  StoreKey key = command_key(order.record.id);
+  StoreKey key = command_key(command.record.id);
   if (write_pending(state, key)) return;
-  CommandRecord ended = order.record;
-  ended.state = end.first;
-  ended.result = end.second;
+  CommandRecord ended = command.record;
+  ended.state = completion.first;
+  ended.result = completion.second;
   ended.finished = now.wall;
   ended.write_id = new_write_id(state);
-  start_write(state, key, order.version, ended, now, effects);
-  auto kind = end.first == CommandState::kDone ? TimelineKind::kCommandFinished
-                                               : TimelineKind::kCommandRefused;
+  start_write(state, key, command.version, ended, now, effects);
+  auto kind = completion.first == CommandState::kDone
+                  ? TimelineKind::kCommandFinished
+                  : TimelineKind::kCommandRefused;
   core::record(state,
                {.kind = kind, .cause = ended.id.str(), .detail = ended.result},
                now, effects);
@@ -312,7 +318,7 @@
 
 }  // namespace
 
-std::string object_of(const Command& command, const core::State& state) {
+std::string target_of(const Command& command, const core::State& state) {
   if (const auto* move = std::get_if<MoveCommand>(&command)) {
     if (move->slot)
       return "unit " + move->service.str() + " " +
@@ -331,20 +337,21 @@
   return "";
 }
 
-void accept_order(core::State& state, const CommandReceived& received, Now now,
-                  Effects& effects) {
+void accept_command(core::State& state, const CommandReceived& received,
+                    Now now, Effects& effects) {
   StoreKey key = command_key(received.id);
   if (const auto* known = find<CommandRecord>(state.cache, key)) {
     reply_state(effects, received.call, *known);
     return;
   }
-  if (auto wrong = wrong_names(state, received.command)) {
-    reply(effects, received.call, received.id, *wrong,
-          Error{ErrorCode::kNotFound, *wrong});
+  if (auto problem = check_names(state, received.command)) {
+    reply(effects, received.call, received.id, *problem,
+          Error{ErrorCode::kNotFound, *problem});
     return;
   }
   if (write_pending(state, key)) {
-    state.operators.orders.push_back({received.call, key, received.id});
+    state.operators.pending_commands.push_back(
+        {received.call, key, received.id});
     return;
   }
   CommandRecord record{.id = received.id,
@@ -354,17 +361,18 @@
                        .command = received.command,
                        .base = received.base,
                        .write_id = new_write_id(state)};
-  state.operators.orders.push_back({received.call, key, received.id});
+  state.operators.pending_commands.push_back({received.call, key, received.id});
   start_write(state, key, Version(0), record, now, effects);
 }
 
-void answer_settled_orders(core::State& state, Now now, Effects& effects) {
-  auto settled = [&](const PendingOrder& order) {
-    if (settled_write(state, order.key) == nullptr) return false;
-    const auto* record = find<CommandRecord>(state.cache, order.key);
+void answer_settled_commands(core::State& state, Now now, Effects& effects) {
+  auto settled = [&](const PendingCommand& pending) {
+    if (settled_write(state, pending.key) == nullptr) return false;
+    const auto* record = find<CommandRecord>(state.cache, pending.key);
     if (record == nullptr) {
-      reply(effects, order.call, order.id, "not recorded",
-            Error{ErrorCode::kUnavailable, "the store did not confirm"});
+      reply(effects, pending.call, pending.id, "command not recorded",
+            Error{ErrorCode::kUnavailable,
+                  "the store did not confirm the write"});
       return true;
     }
     core::record(state,
@@ -372,30 +380,30 @@
                   .cause = record->id.str(),
                   .detail = record->text},
                  now, effects);
-    reply_state(effects, order.call, *record);
+    reply_state(effects, pending.call, *record);
     return true;
   };
-  std::erase_if(state.operators.orders, settled);
+  std::erase_if(state.operators.pending_commands, settled);
 }
 
-void carry_out_orders(core::State& state, Now now, Effects& effects) {
-  std::map<std::string, const OpenOrder*> first;
-  std::vector<OpenOrder> open = open_orders(state);
-  for (const OpenOrder& order : open) {
-    std::string object = object_of(order.record.command, state);
-    auto [it, is_first] = first.emplace(object, &order);
-    if (!object.empty() && !is_first) {
+void execute_commands(core::State& state, Now now, Effects& effects) {
+  std::map<std::string, const UnfinishedCommand*> first;
+  std::vector<UnfinishedCommand> unfinished = unfinished_commands(state);
+  for (const UnfinishedCommand& command : unfinished) {
+    std::string target = target_of(command.record.command, state);
+    auto [it, is_first] = first.emplace(target, &command);
+    if (!target.empty() && !is_first) {
       if (!is_coordinator(state, now)) continue;
       const CommandRecord& winner = it->second->record;
-      finish(state, order,
+      finish(state, command,
              {CommandState::kLostToConflict,
               "command " + winner.id.str() + " of " + winner.ordered_by.str() +
-                  " came first and is not finished: " + winner.text},
+                  " was stored earlier and is not finished: " + winner.text},
              now, effects);
       continue;
     }
-    if (Step end = step(state, order.record, now, effects))
-      finish(state, order, *end, now, effects);
+    if (Completion completion = execute(state, command.record, now, effects))
+      finish(state, command, *completion, now, effects);
   }
 }
 
--- a/src/core/operator/commands.h
+++ b/src/core/operator/commands.h
@@ -11,25 +11,25 @@
 struct State;
 }
 
-/// Operators' orders as records in the store: accepted once written, carried
-/// out by whoever is responsible.
+/// Operators' commands that change something: each is a record in the store,
+/// accepted once it is written, and executed by the daemon responsible for it.
 namespace eelgrasspin::core::operators {
 
-/// Checks an order against the declarations and writes its record, or answers
-/// at once.
-void accept_order(core::State& state, const CommandReceived& received, Now now,
-                  Effects& effects);
+/// Checks a command against the declarations and starts to write its record.
+/// Answers at once if it is invalid or was recorded before.
+void accept_command(core::State& state, const CommandReceived& received,
+                    Now now, Effects& effects);
 
-/// Answers the operator of each order whose record has been settled.
-void answer_settled_orders(core::State& state, Now now, Effects& effects);
+/// Answers the operators of commands whose record writes settled during this
+/// event.
+void answer_settled_commands(core::State& state, Now now, Effects& effects);
 
-/// Takes the next step of each unfinished order that this daemon is responsible
-/// for.
-void carry_out_orders(core::State& state, Now now, Effects& effects);
+/// Advances each unfinished command for which this daemon is responsible.
+void execute_commands(core::State& state, Now now, Effects& effects);
 
-/// What an order is about; two unfinished orders about the same thing conflict.
-/// "unit panboard 812".
-std::string object_of(const Command& command, const core::State& state);
+/// The object that a command changes, such as "unit panboard 812"; empty if it
+/// conflicts with no other. Unfinished commands with the same target conflict.
+std::string target_of(const Command& command, const core::State& state);
 
 }  // namespace eelgrasspin::core::operators
 
--- a/src/core/operator/fan_out.cc
+++ b/src/core/operator/fan_out.cc
@@ -36,13 +36,14 @@
     answer.answer.sections.push_back({"", table_of(state, show->subject, now)});
   } else {
     answer.answer.error =
-        Error{ErrorCode::kInvalid, "only show commands are passed on"};
+        Error{ErrorCode::kInvalid,
+              "only show commands are forwarded between daemons"};
   }
   send(state, call.address, std::move(answer), effects);
 }
 
 void merge(FanOut& fan_out, const CommandCallAnswer& part) {
-  if (fan_out.waiting.erase(part.from) == 0 || part.answer.sections.empty())
+  if (fan_out.unanswered.erase(part.from) == 0 || part.answer.sections.empty())
     return;
   auto& rows = fan_out.answer.sections.front().table.rows;
   const auto& more = part.answer.sections.front().table.rows;
@@ -53,9 +54,9 @@
   const auto& show = std::get<ShowCommand>(fan_out.command);
   CommandAnswer answer =
       finish_show(show, std::move(fan_out.answer.sections.front().table), now);
-  for (const DaemonName& silent : fan_out.waiting) {
+  for (const DaemonName& missing : fan_out.unanswered) {
     answer.message +=
-        (answer.message.empty() ? "not heard: " : " ") + silent.str();
+        (answer.message.empty() ? "no answer from: " : " ") + missing.str();
   }
   effects.push_back(ReplyOperator{fan_out.call, std::move(answer)});
 }
@@ -71,7 +72,7 @@
   fan_out.deadline = now.mono + config::kFanOutTimeout;
   fan_out.answer.sections.push_back({"", table_of(state, show.subject, now)});
   for (const auto& [daemon, address] : other_daemons(state)) {
-    fan_out.waiting.insert(daemon);
+    fan_out.unanswered.insert(daemon);
     send(state, address,
          CommandCall{.call = number,
                      .from = state.self.name,
@@ -97,7 +98,7 @@
   auto& fan_outs = state.operators.fan_outs;
   for (auto it = fan_outs.begin(); it != fan_outs.end();) {
     FanOut& fan_out = it->second;
-    if (!fan_out.waiting.empty() && now.mono < fan_out.deadline) {
+    if (!fan_out.unanswered.empty() && now.mono < fan_out.deadline) {
       ++it;
       continue;
     }
--- a/src/core/operator/fan_out.h
+++ b/src/core/operator/fan_out.h
@@ -8,16 +8,16 @@
 struct State;
 }
 
-/// Queries that every daemon answers a part of.
+/// Queries to which every daemon contributes a part of the answer.
 namespace eelgrasspin::core::operators {
 
-/// Asks every daemon on a roster; the answer names those that were not heard in
-/// time.
+/// Sends the query to every daemon on a roster. The answer names those that did
+/// not reply within config::kFanOutLimit.
 void start_fan_out(core::State& state, const CommandReceived& received,
                    const ShowCommand& show, Now now, Effects& effects);
 
-/// Handles CommandCall and CommandCallAnswer, and ends queries whose time is
-/// up.
+/// Handles CommandCall and CommandCallAnswer, and answers queries that are
+/// complete or have timed out.
 void step_fan_outs(core::State& state, const Event& event, Now now,
                    Effects& effects);
 
--- a/src/core/operator/operators.cc
+++ b/src/core/operator/operators.cc
@@ -33,7 +33,7 @@
     return;
   }
   StoreOpId op = next_store_op(state);
-  state.operators.reports[op] = {call, service};
+  state.operators.pending_reports[op] = {call, service};
   ++state.counters[Counter::kStoreReads];
   effects.push_back(StoreList{op, closure_part_key(service, ZoneName())});
 }
@@ -52,10 +52,10 @@
 
 void on_report_read(core::State& state, const StoreAnswered& answer,
                     Effects& effects) {
-  auto it = state.operators.reports.find(answer.op);
-  if (it == state.operators.reports.end()) return;
-  ReportRead report = it->second;
-  state.operators.reports.erase(it);
+  auto it = state.operators.pending_reports.find(answer.op);
+  if (it == state.operators.pending_reports.end()) return;
+  PendingReport report = it->second;
+  state.operators.pending_reports.erase(it);
   const auto* read = std::get_if<StoreRead>(&answer.result);
   const auto* closure = find<Closure>(state.cache, closure_key(report.service));
   if (read == nullptr || closure == nullptr) {
@@ -101,7 +101,7 @@
   } else if (const auto* report = std::get_if<ReportCommand>(&command)) {
     start_report(state, received.call, report->service, effects);
   } else {
-    accept_order(state, received, now, effects);
+    accept_command(state, received, now, effects);
   }
 }
 
@@ -121,7 +121,7 @@
                             .applied_by = received.operator_name,
                             .applied = now.wall,
                             .write_id = new_write_id(state)};
-  state.operators.applies.push_back(
+  state.operators.pending_applies.push_back(
       {received.call, received.operator_name, record.write_id});
   start_write(state, key, current, record, now, effects);
 }
@@ -129,10 +129,10 @@
 void answer_applies(core::State& state, Effects& effects) {
   const SettledWrite* settled = settled_write(state, declarations_key());
   if (settled == nullptr) return;
-  for (const PendingApply& apply : state.operators.applies) {
+  for (const PendingApply& apply : state.operators.pending_applies) {
     if (!settled->took_effect) {
       reply_error(effects, apply.call, ErrorCode::kConflict,
-                  "another change came first");
+                  "another change of the declarations was stored first");
       continue;
     }
     CommandAnswer answer;
@@ -141,10 +141,11 @@
         "accepted as version " + std::to_string(answer.version.value);
     effects.push_back(ReplyOperator{apply.call, std::move(answer)});
   }
-  state.operators.applies.clear();
+  state.operators.pending_applies.clear();
 }
 
-/// Deletes the oldest finished commands above the limit.
+/// Deletes the oldest finished command while more than
+/// config::kMaxFinishedCommands are in the store.
 void trim_commands(core::State& state, Now now, Effects& effects) {
   if (membership::coordinated_zones(state, now).empty()) return;
   std::vector<std::pair<Version, StoreKey>> finished;
@@ -173,13 +174,13 @@
     on_declarations(state, *received, now, effects);
   if (const auto* answer = std::get_if<StoreAnswered>(&event))
     on_report_read(state, *answer, effects);
-  answer_settled_orders(state, now, effects);
+  answer_settled_commands(state, now, effects);
   answer_applies(state, effects);
   step_fan_outs(state, event, now, effects);
   step_accounts(state, event, now, effects);
   step_closures(state, event, now, effects);
   if (!std::holds_alternative<Tick>(event)) return;
-  carry_out_orders(state, now, effects);
+  execute_commands(state, now, effects);
   trim_commands(state, now, effects);
 }
 
--- a/src/core/operator/operators.h
+++ b/src/core/operator/operators.h
@@ -11,9 +11,11 @@
 
 namespace eelgrasspin::core::operators {
 
+/// Handles an event: operators' commands, declarations, closures and accounts.
 void step(core::State& state, const Event& event, Now now, Effects& effects);
 
-/// Whether a closure has stopped a service's admission.
+/// Whether a service has a closure that was not cancelled, so that new requests
+/// are refused.
 bool admission_stopped(const core::State& state, const ServiceName& service);
 
 }  // namespace eelgrasspin::core::operators
--- a/src/core/operator/queries.cc
+++ b/src/core/operator/queries.cc
@@ -223,11 +223,11 @@
               {}};
   std::map<ServerName, std::uint64_t> units = units_by_server(state);
   for_each_record<DrainPlan>(state, "live/drain/", [&](const DrainPlan& plan) {
-    std::string stage = plan.cancelled            ? "cancelled"
-                        : units[plan.server] == 0 ? "drained"
-                                                  : "draining";
+    std::string drain_state = plan.cancelled            ? "cancelled"
+                              : units[plan.server] == 0 ? "drained"
+                                                        : "draining";
     table.rows.push_back({plan.server.str(), plan.id, plan.ordered_by.str(),
-                          format_time(plan.ordered), stage,
+                          format_time(plan.ordered), drain_state,
                           text(units[plan.server])});
   });
   return table;
@@ -304,7 +304,7 @@
   return left.compare(right);
 }
 
-bool meets(const std::string& cell, const Condition& condition) {
+bool matches(const std::string& cell, const Condition& condition) {
   int order = compare(cell, condition.value);
   switch (condition.comparison) {
     case Comparison::kEqual:
@@ -397,7 +397,7 @@
     }
     auto index = static_cast<std::size_t>(column - table.columns.begin());
     std::erase_if(table.rows, [&](const auto& row) {
-      return !meets(row[index], condition);
+      return !matches(row[index], condition);
     });
   }
   if (show.subject == Subject::kTimeline) {
@@ -439,14 +439,14 @@
   for_each_record<OwnershipMap>(
       state, "live/own/" + owner.service.str() + "/",
       [&](const OwnershipMap& map) {
-        auto carved = map.overrides.find(owner.key);
-        auto whole = map.slots.find(slot);
+        auto key_entry = map.overrides.find(owner.key);
+        auto slot_entry = map.slots.find(slot);
         const SlotRecord* record = nullptr;
-        if (whole != map.slots.end()) record = &whole->second;
-        if (carved != map.overrides.end()) record = &carved->second;
+        if (slot_entry != map.slots.end()) record = &slot_entry->second;
+        if (key_entry != map.overrides.end()) record = &key_entry->second;
         if (record == nullptr || record->phase == SlotPhase::kHandedOver)
           return;
-        std::string unit = carved != map.overrides.end()
+        std::string unit = key_entry != map.overrides.end()
                                ? "key " + owner.key.str()
                                : "slot " + text(slot.value);
         table.rows.push_back(unit_row(map, unit, *record));
--- a/src/core/operator/queries.h
+++ b/src/core/operator/queries.h
@@ -9,20 +9,22 @@
 struct State;
 }
 
-/// Answers to queries, from what this daemon knows.
+/// Answers to queries, from this daemon's state.
 namespace eelgrasspin::core::operators {
 
-/// Rows of one subject as this daemon knows them, before conditions and limits.
+/// This daemon's rows of a subject, before conditions and limits are applied.
 Table table_of(const core::State& state, Subject subject, Now now);
 
-/// Whether each daemon holds a part of the subject of its own.
+/// Whether the rows of a subject are spread over all daemons.
 bool needs_all_daemons(Subject subject);
 
-/// Rows that meet the conditions of a show command, at most its limit. An
-/// unknown column is an error.
+/// Applies the conditions and the limit of a show command to the rows. The
+/// answer is an error if a condition names an unknown column.
 CommandAnswer finish_show(const ShowCommand& show, Table table, Now now);
 
+/// Owner of a key; an error if the service is not declared.
 CommandAnswer answer_owner(const core::State& state, const OwnerCommand& owner);
+/// Progress of a service's closure by zone; an error if it has none.
 CommandAnswer answer_closure(const core::State& state,
                              const ShowClosureCommand& show);
 
--- a/src/core/operator/report.cc
+++ b/src/core/operator/report.cc
@@ -48,11 +48,12 @@
                     "answered", "not_run", "unknown", "in_flight"},
                    {}}};
   for (const DaemonAccount& account : part.accounts) {
-    bool silent = std::find(part.not_reported.begin(), part.not_reported.end(),
-                            account.daemon) != part.not_reported.end();
+    bool not_heard = std::find(part.not_heard.begin(), part.not_heard.end(),
+                               account.daemon) != part.not_heard.end();
     section.table.rows.push_back(
         {account.daemon.str(), number(account.incarnation.value),
-         format_time(account.as_of), silent ? "not heard since as_of" : "yes",
+         format_time(account.as_of),
+         not_heard ? "not heard since as_of" : "yes",
          number(account.counts.admitted),
          number(total(account.counts, Outcome::kAnswered)),
          number(total(account.counts, Outcome::kNotRun)),
@@ -195,17 +196,18 @@
   for (std::size_t i = 0; i < parts.table.rows.size(); ++i) {
     const auto& row = parts.table.rows[i];
     if (row.size() != 2) continue;
-    std::vector<Section> of_part;
+    std::vector<Section> sections_of_part;
     std::string prefix = std::string(kPartPrefix) + row[0] + ": ";
     std::copy_if(report.sections.begin(), report.sections.end(),
-                 std::back_inserter(of_part), [&](const Section& section) {
+                 std::back_inserter(sections_of_part),
+                 [&](const Section& section) {
                    return section.title.starts_with(prefix);
                  });
     int line = static_cast<int>(i) + 1;
-    if (of_part.empty()) {
+    if (sections_of_part.empty()) {
       findings.push_back(
           {"report", line, 0, "part " + row[0] + " is missing", ""});
-    } else if (hash_sections(of_part) != row[1]) {
+    } else if (hash_sections(sections_of_part) != row[1]) {
       findings.push_back({"report", line, 0,
                           "part " + row[0] + " was changed after the seal",
                           ""});
