--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -6,12 +6,12 @@
 namespace eelgrasspin {
 namespace {
 
-using fixtures::book_declarations;
-using fixtures::book_head;
-using fixtures::book_world;
-using fixtures::end_of;
-using fixtures::expect_promises;
+using fixtures::expect_no_violations;
 using fixtures::kDaemons;
+using fixtures::make_declarations;
+using fixtures::make_head;
+using fixtures::make_started_world;
+using fixtures::outcome_of;
 using scenario::run_for;
 using scenario::send_request;
 using scenario::Serial;
@@ -23,11 +23,13 @@
   return sum;
 }
 
-/// Sends a request that crashes its server each second through every daemon in
-/// turn; servers come back after two seconds.
-Serial resend_poison(World& world, const RequestHead& head, int times) {
+/// Sends a request that crashes its server once a second, through all daemons
+/// in turn; crashed servers restart after two seconds. Returns the last
+/// request.
+Serial resend_crashing_request(World& world, const RequestHead& head,
+                               int count) {
   Serial last = 0;
-  for (int i = 0; i < times; ++i) {
+  for (int i = 0; i < count; ++i) {
     last = send_request(world, kDaemons[i % kDaemons.size()], head, true);
     run_for(world, seconds(1));
     for (const auto& [name, server] : world.servers) {
@@ -42,25 +44,25 @@
 
 TEST(Quarantine, ACrashRequestTakesDownAtMostTwoServers) {
   for (const char* method : {"GET", "PUT", "POST"}) {
-    World world = book_world(book_declarations(3));
-    RequestHead head = book_head(method, 1, "poison");
-    Serial last = resend_poison(world, head, 60);
+    World world = make_started_world(make_declarations(3));
+    RequestHead head = make_head(method, 1, "poison");
+    Serial last = resend_crashing_request(world, head, 60);
     EXPECT_LE(crashes(world), 2U) << method;
-    EXPECT_NE(end_of(world, last), "answered") << method;
+    EXPECT_NE(outcome_of(world, last), "answered") << method;
     std::printf("%s: %u servers down, last end %s\n", method, crashes(world),
-                end_of(world, last).c_str());
-    expect_promises(world);
+                outcome_of(world, last).c_str());
+    expect_no_violations(world);
   }
 }
 
 TEST(Quarantine, LastsUntilAnOperatorReleasesIt) {
-  World world = book_world(book_declarations(3));
-  RequestHead head = book_head("PUT", 1);
-  Serial last = resend_poison(world, head, 20);
-  EXPECT_EQ(end_of(world, last), "not run: quarantined");
-  Serial other = send_request(world, kDaemons[0], book_head("PUT", 1, "", 2));
+  World world = make_started_world(make_declarations(3));
+  RequestHead head = make_head("PUT", 1);
+  Serial last = resend_crashing_request(world, head, 20);
+  EXPECT_EQ(outcome_of(world, last), "not run: quarantined");
+  Serial other = send_request(world, kDaemons[0], make_head("PUT", 1, "", 2));
   run_for(world, seconds(2));
-  EXPECT_EQ(end_of(world, other), "answered");
+  EXPECT_EQ(outcome_of(world, other), "answered");
   std::uint64_t fingerprint = 0;
   for (const DaemonName& daemon : kDaemons) {
     const auto& listed =
@@ -73,22 +75,22 @@
   run_for(world, seconds(3));
   Serial harmless = send_request(world, kDaemons[3], head);
   run_for(world, seconds(2));
-  EXPECT_EQ(end_of(world, harmless), "answered");
+  EXPECT_EQ(outcome_of(world, harmless), "answered");
 }
 
 TEST(Quarantine, OneServerLossDoesNotQuarantineItsBusiestRead) {
-  World world = book_world(book_declarations(2));
+  World world = make_started_world(make_declarations(2));
   for (auto& [name, server] : world.servers) server.work = milliseconds(50);
   for (int i = 0; i < 6; ++i)
-    send_request(world, kDaemons[0], book_head("GET", 1));
+    send_request(world, kDaemons[0], make_head("GET", 1));
   run_for(world, milliseconds(20));
   for (auto& [name, server] : world.servers) {
     if (!server.running.empty()) crash_server(world, name);
   }
   run_for(world, seconds(15));
-  Serial read = send_request(world, kDaemons[0], book_head("GET", 1));
+  Serial read = send_request(world, kDaemons[0], make_head("GET", 1));
   run_for(world, seconds(2));
-  EXPECT_EQ(end_of(world, read), "answered");
+  EXPECT_EQ(outcome_of(world, read), "answered");
 }
 
 }  // namespace
--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -22,7 +22,7 @@
 using fixtures::kOtherZone;
 using fixtures::kService;
 
-const Key kFarKey = key_in(false);
+const Key kOtherZoneKey = key_in(false);
 
 RefuseRequest refused(const Effects& effects) {
   auto found = effects_of<RefuseRequest>(effects);
@@ -57,9 +57,9 @@
 
 TEST(Entry, ForwardsToTheFrontAndRelaysItsAnswer) {
   Daemon daemon;
-  SendToFront sent = forwarded(daemon.arrive(1, head("GET", kFarKey)));
-  EXPECT_EQ(sent.front, kOtherEndpoint);
-  EXPECT_EQ(sent.server, kOtherServer);
+  SendToFront sent = forwarded(daemon.arrive(1, head("GET", kOtherZoneKey)));
+  EXPECT_EQ(sent.front, kPortThere);
+  EXPECT_EQ(sent.server, kServerThere);
   EXPECT_TRUE(sent.repeatable);
   EXPECT_LT(sent.time_left, milliseconds(1000));
   Effects ended = daemon.end(sent.request, sent.attempt, AttemptAnswered{});
@@ -77,31 +77,34 @@
     EXPECT_EQ(refusal.outcome, Outcome::kNotRun);
     return refusal.reason;
   };
-  RequestHead bad = head("GET", kFarKey);
+  RequestHead bad = head("GET", kOtherZoneKey);
   bad.service = ServiceName("nothing");
   EXPECT_EQ(reason_of(bad), Reason::kUnknownService);
-  EXPECT_EQ(reason_of(head("DELETE", kFarKey)), Reason::kUnknownOperation);
-  EXPECT_EQ(reason_of(head("POST", kFarKey)), Reason::kIdempotencyKeyMissing);
-  EXPECT_EQ(reason_of(head("POST", kFarKey, std::string(129, 'k'))),
+  EXPECT_EQ(reason_of(head("DELETE", kOtherZoneKey)),
+            Reason::kUnknownOperation);
+  EXPECT_EQ(reason_of(head("POST", kOtherZoneKey)),
+            Reason::kIdempotencyKeyMissing);
+  EXPECT_EQ(reason_of(head("POST", kOtherZoneKey, std::string(129, 'k'))),
             Reason::kIdempotencyKeyInvalid);
-  EXPECT_EQ(reason_of(head("POST", kFarKey, "a\nb")),
+  EXPECT_EQ(reason_of(head("POST", kOtherZoneKey, "a\nb")),
             Reason::kIdempotencyKeyInvalid);
-  bad = head("GET", kFarKey);
+  bad = head("GET", kOtherZoneKey);
   bad.time_left = seconds(301);
   EXPECT_EQ(reason_of(bad), Reason::kBadRequest);
   bad.time_left = seconds(-1);
   EXPECT_EQ(reason_of(bad), Reason::kBadRequest);
-  bad = head("GET", kFarKey);
+  bad = head("GET", kOtherZoneKey);
   bad.hops = config::kMaxHops + 1;
   EXPECT_EQ(reason_of(bad), Reason::kHopLimit);
-  bad = head("GET", kFarKey);
+  bad = head("GET", kOtherZoneKey);
   bad.body_bytes = config::kMaxBodyBytes + 1;
   EXPECT_EQ(reason_of(bad), Reason::kBodyTooLarge);
 }
 
-TEST(Entry, SendsAgainWithProofAndFollowsANewerMap) {
+TEST(Entry, RetriesWhatDidNotRunAtTheFrontOfANewerMap) {
   Daemon daemon;
-  SendToFront sent = forwarded(daemon.arrive(1, head("POST", kFarKey, "k1")));
+  SendToFront sent =
+      forwarded(daemon.arrive(1, head("POST", kOtherZoneKey, "k1")));
   EXPECT_FALSE(sent.repeatable);
   Effects ended = daemon.end(sent.request, sent.attempt,
                              AttemptNotRun{.reason = Reason::kMoved});
@@ -113,9 +116,10 @@
   EXPECT_NE(again.attempt, sent.attempt);
 }
 
-TEST(Entry, NeverSendsAtMostOnceAgainWithoutProof) {
+TEST(Entry, NeverRetriesAtMostOnceOfUnknownOutcome) {
   Daemon daemon;
-  SendToFront sent = forwarded(daemon.arrive(1, head("POST", kFarKey, "k1")));
+  SendToFront sent =
+      forwarded(daemon.arrive(1, head("POST", kOtherZoneKey, "k1")));
   RefuseRequest end =
       refused(daemon.end(sent.request, sent.attempt,
                          AttemptUnknown{.reason = Reason::kConnectionLost}));
@@ -123,9 +127,9 @@
   EXPECT_TRUE(effects_of<SendToFront>(daemon.run(seconds(2))).empty());
 }
 
-TEST(Entry, ReadsGoAgainAndAreNeverToldNotRunAfterwards) {
+TEST(Entry, ReadsAreRetriedAndNeverEndAsNotRunAfterwards) {
   Daemon daemon;
-  SendToFront sent = forwarded(daemon.arrive(1, head("GET", kFarKey)));
+  SendToFront sent = forwarded(daemon.arrive(1, head("GET", kOtherZoneKey)));
   daemon.end(sent.request, sent.attempt,
              AttemptUnknown{.reason = Reason::kConnectionLost});
   SendToFront again = forwarded(daemon.run(milliseconds(20)));
@@ -141,7 +145,7 @@
   std::uint64_t sends = 0;
   constexpr std::uint64_t kRequests = 1000;
   for (std::uint64_t id = 1; id <= kRequests; ++id) {
-    Effects effects = daemon.arrive(id, head("GET", kFarKey));
+    Effects effects = daemon.arrive(id, head("GET", kOtherZoneKey));
     for (int turn = 0; turn < 5; ++turn) {
       for (const SendToFront& sent : effects_of<SendToFront>(effects)) {
         ++sends;
@@ -159,12 +163,12 @@
   Daemon daemon;
   daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kMoving);
   EXPECT_TRUE(
-      effects_of<SendToFront>(daemon.arrive(1, head("GET", kFarKey))).empty());
+      only<SendToFront>(daemon.arrive(1, head("GET", kOtherZoneKey))).empty());
   daemon.run(milliseconds(300));
   daemon.put_owner(kOtherZone, kOtherServer, 3);
   EXPECT_EQ(forwarded(daemon.run(milliseconds(20))).epoch, Epoch(3));
-  daemon.put_owner(kOtherZone, kOtherServer, 4, SlotPhase::kUnassigned);
-  daemon.arrive(2, head("GET", kFarKey));
+  daemon.put_owner(kThere, kServerThere, 4, SlotPhase::kUnassigned);
+  daemon.arrive(2, head("GET", kOtherZoneKey));
   Effects effects = daemon.run(milliseconds(1100));
   std::vector<RefuseRequest> ends = effects_of<RefuseRequest>(effects);
   ASSERT_EQ(ends.size(), 2U);
@@ -181,15 +185,16 @@
   std::size_t refusals = 0;
   for (std::uint64_t id = 1; id <= config::kMaxHeldRequests + 5; ++id)
     refusals +=
-        effects_of<RefuseRequest>(daemon.arrive(id, head("GET", kFarKey)))
+        only<RefuseRequest>(daemon.arrive(id, head("GET", kOtherZoneKey)))
             .size();
   EXPECT_EQ(refusals, 5U);
 }
 
 TEST(Entry, RefusesAForwardedRequestThatIsNotForItsServers) {
   Daemon daemon;
-  ForwardedFrom from{kOtherDaemon, kOtherServer, SlotId(9), Epoch(1)};
-  RefuseRequest end = refused(daemon.arrive(1, head("GET", kFarKey), from));
+  ForwardedFrom from{kDaemonThere, kServerThere, SlotId(9), Epoch(1)};
+  RefuseRequest end =
+      refused(daemon.arrive(1, head("GET", kOtherZoneKey), from));
   EXPECT_EQ(end.outcome, Outcome::kNotRun);
   EXPECT_EQ(end.reason, Reason::kMoved);
   EXPECT_EQ(end.newer_epoch, Epoch(1));
@@ -197,12 +202,12 @@
 
 TEST(Entry, CountsEachCallersRequestOnce) {
   Daemon daemon;
-  SendToFront first = forwarded(daemon.arrive(1, head("GET", kFarKey)));
-  daemon.arrive(2, head("GET", kFarKey));
-  daemon.arrive(3, head("DELETE", kFarKey));
+  SendToFront first = forwarded(daemon.arrive(1, head("GET", kOtherZoneKey)));
+  daemon.arrive(2, head("GET", kOtherZoneKey));
+  daemon.arrive(3, head("DELETE", kOtherZoneKey));
   daemon.end(first.request, first.attempt, AttemptAnswered{});
   daemon.apply(core::RequestCancelled{RequestId(2)});
-  daemon.arrive(4, head("GET", kFarKey));
+  daemon.arrive(4, head("GET", kOtherZoneKey));
   DaemonAccount account =
       core::request::accounts(daemon.state, daemon.now()).at(kService);
   std::uint64_t ended = 0;
--- a/tests/request_property_test.cc
+++ b/tests/request_property_test.cc
@@ -7,16 +7,16 @@
 namespace eelgrasspin {
 namespace {
 
-using fixtures::book_declarations;
-using fixtures::book_head;
-using fixtures::book_world;
 using fixtures::kDaemons;
+using fixtures::make_declarations;
+using fixtures::make_head;
+using fixtures::make_started_world;
 using scenario::run_for;
 using scenario::send_request;
 using scenario::World;
 
-/// One step of a run, drawn as a number.
-void disturb(World& world, std::uint32_t draw) {
+/// Applies one random step: a fault, the end of a fault, or a pause.
+void inject_fault(World& world, std::uint32_t draw) {
   const DaemonName& daemon = kDaemons[draw / 16 % kDaemons.size()];
   auto server =
       std::next(world.servers.begin(),
@@ -61,19 +61,19 @@
   }
 }
 
-void send_some(World& world, std::uint32_t draw) {
+void send_requests(World& world, std::uint32_t draw) {
   static constexpr const char* kMethods[] = {"GET", "PUT", "POST"};
   for (std::uint32_t i = 0; i < 4; ++i) {
     std::uint32_t key = (draw + i * 7) % 12;
     send_request(
         world, kDaemons[(draw + i) % kDaemons.size()],
-        book_head(kMethods[(draw / 3 + i) % 3], static_cast<int>(key),
+        make_head(kMethods[(draw / 3 + i) % 3], static_cast<int>(key),
                   std::to_string(key) + "-" + std::to_string(draw % 5)));
   }
 }
 
-/// Requests whose entry lived on, and that still did not end.
-std::uint64_t open_at_living_entries(const World& world) {
+/// Number of open requests at daemons that are running.
+std::uint64_t open_at_running_entries(const World& world) {
   std::uint64_t open = 0;
   for (const auto& [name, daemon] : world.daemons) {
     if (daemon.alive) open += core::request::open_requests(daemon.state);
@@ -81,29 +81,29 @@
   return open;
 }
 
-TEST(RequestProperty, PromisesHoldUnderDrawnFaults) {
-  const World fresh = book_world(book_declarations(2));
-  EXPECT_TRUE(rc::check("promises hold", [&] {
+TEST(RequestProperty, GuaranteesHoldUnderRandomFaults) {
+  const World fresh = make_started_world(make_declarations(2));
+  EXPECT_TRUE(rc::check("guarantees hold", [&] {
     const auto draws = *rc::gen::container<std::vector<std::uint32_t>>(
         40, rc::gen::inRange<std::uint32_t>(0, 4096));
     World world = fresh;
     for (std::uint32_t draw : draws) {
-      disturb(world, draw);
-      send_some(world, draw);
+      inject_fault(world, draw);
+      send_requests(world, draw);
       run_for(world, milliseconds(50));
     }
     store_up(world);
     world.message_faults = {};
     run_for(world, seconds(3));
     for (const std::string& violation : check_run(world)) RC_FAIL(violation);
-    RC_ASSERT(open_at_living_entries(world) == 0U);
+    RC_ASSERT(open_at_running_entries(world) == 0U);
   }));
 }
 
 TEST(RequestProperty, AccountsBalance) {
-  World world = book_world(book_declarations(2));
+  World world = make_started_world(make_declarations(2));
   for (std::uint32_t draw = 0; draw < 60; ++draw) {
-    send_some(world, draw * 37);
+    send_requests(world, draw * 37);
     run_for(world, milliseconds(10));
   }
   for (const DaemonName& daemon : kDaemons) {
--- a/tests/request_world.h
+++ b/tests/request_world.h
@@ -13,28 +13,28 @@
 /// region with two daemons each, and one service.
 namespace eelgrasspin::fixtures {
 
-inline const ServiceName kBook("dispatchbook");
+inline const ServiceName kService("dispatchbook");
 inline const std::vector<DaemonName> kDaemons{
     DaemonName("gongoni-1"), DaemonName("gongoni-2"), DaemonName("marereni-1"),
     DaemonName("marereni-2")};
 
-inline Declarations book_declarations(int servers_per_zone) {
+inline Declarations make_declarations(int servers_per_zone) {
   Declarations all;
   all.deployment = "test";
-  ServiceDeclaration service{.name = kBook, .key_slots = 16};
+  ServiceDeclaration service{.name = kService, .key_slots = 16};
   service.deadline = milliseconds(1000);
   service.execution_limit = milliseconds(300);
   service.operations = {
       {"read", "GET", "/dispatches/{key}", ExecutionClass::kRead},
       {"note", "PUT", "/dispatches/{key}", ExecutionClass::kIdempotent},
       {"lodge", "POST", "/dispatches/{key}", ExecutionClass::kAtMostOnce}};
-  all.services[kBook] = service;
+  all.services[kService] = service;
   for (const char* zone : {"gongoni", "marereni"}) {
     all.zones[ZoneName(zone)] = {ZoneName(zone), RegionName("kilifi")};
     for (int i = 1; i <= servers_per_zone; ++i) {
       ServerName name(std::string(zone) + "-book-" + std::to_string(i));
       all.servers[name] = {.name = name,
-                           .service = kBook,
+                           .service = kService,
                            .zone = ZoneName(zone),
                            .address = Endpoint(name.str())};
     }
@@ -42,10 +42,10 @@
   return all;
 }
 
-/// The deployment after its start: every slot has an owner.
-inline scenario::World book_world(const Declarations& declarations,
-                                  std::uint64_t seed = 1,
-                                  core::Guards guards = {}) {
+/// The started deployment, in which every slot has an owner.
+inline scenario::World make_started_world(const Declarations& declarations,
+                                          std::uint64_t seed = 1,
+                                          core::Guards guards = {}) {
   scenario::World world = scenario::make_world(declarations, seed);
   scenario::put_declarations(world, declarations);
   for (const DaemonName& daemon : kDaemons) {
@@ -57,11 +57,11 @@
   return world;
 }
 
-inline RequestHead book_head(const std::string& method, int key,
+inline RequestHead make_head(const std::string& method, int key,
                              const std::string& idempotency_key = "",
                              std::uint64_t body_hash = 1) {
   RequestHead head;
-  head.service = kBook;
+  head.service = kService;
   head.method = method;
   head.path = "/dispatches/lorry-" + std::to_string(key);
   head.caller = CallerName("clerk");
@@ -70,9 +70,10 @@
   return head;
 }
 
-/// "answered", "not run: quarantined" ...
-inline std::string end_of(const scenario::World& world,
-                          scenario::Serial serial) {
+/// Outcome and reason of a request, such as "answered" or "not run:
+/// quarantined"; "open" if it has not ended.
+inline std::string outcome_of(const scenario::World& world,
+                              scenario::Serial serial) {
   const scenario::CallerRequest& request = world.requests.at(serial);
   if (!request.outcome) return "open";
   std::string text(to_string(*request.outcome));
@@ -80,18 +81,20 @@
   return text + ": " + std::string(to_string(request.reason));
 }
 
-inline std::uint64_t runs_of(const scenario::World& world,
-                             const std::string& idempotency_key) {
-  std::uint64_t runs = 0;
+/// Number of executions under an idempotency key.
+inline std::uint64_t executions_of(const scenario::World& world,
+                                   const std::string& idempotency_key) {
+  std::uint64_t count = 0;
   for (const scenario::Execution& execution : world.executions) {
     const scenario::CallerRequest& request =
         world.requests.at(execution.serial);
-    runs += request.head.idempotency_key == idempotency_key ? 1 : 0;
+    count += request.head.idempotency_key == idempotency_key ? 1 : 0;
   }
-  return runs;
+  return count;
 }
 
-inline void expect_promises(scenario::World& world) {
+/// Checks the guarantees for the whole run.
+inline void expect_no_violations(scenario::World& world) {
   EXPECT_EQ(scenario::check_run(world), std::vector<std::string>());
 }
 
