--- a/src/core/operator/accounts.cc
+++ b/src/core/operator/accounts.cc
@@ -86,7 +86,7 @@
 /// zone are taken.
 void merge_received(core::State& state, const AccountSetKey& key,
                     AccountSet& set) {
-  for (const auto& [daemon, received] : membership::heard_accounts(state)) {
+  for (const auto& [daemon, received] : membership::received_accounts(state)) {
     auto it = received.accounts.find(key.first);
     if (it == received.accounts.end()) continue;
     if (is_member(state, key.second, daemon)) merge(set, it->second);
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -40,15 +40,15 @@
 }
 
 bool all_heard_recently(const core::State& state, Now now) {
-  const auto& heard = membership::heard_accounts(state);
-  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
-    return now.mono - entry.second.heard < config::kDaemonLostAfter;
+  const auto& received = membership::received_accounts(state);
+  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
+    return now.mono - entry.second.received < config::kDaemonLostAfter;
   });
 }
 
 bool all_have_read(const core::State& state, Version announced) {
-  const auto& heard = membership::heard_accounts(state);
-  return std::all_of(heard.begin(), heard.end(), [&](const auto& entry) {
+  const auto& received = membership::received_accounts(state);
+  return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
     return entry.second.cache_revision >= announced;
   });
 }
@@ -119,7 +119,7 @@
 }
 
 /// Whether a zone's coordinator lease has not changed for
-/// config::kZoneSilentAfter.
+/// config::kClosureZoneTimeout.
 bool coordinator_timed_out(const core::State& state, const ZoneName& zone,
                            Now now) {
   auto it = state.operators.leases.find(zone);
@@ -130,7 +130,7 @@
 void advance(core::State& state, Closure& closure, Now now) {
   ClosureStep goal = next(closure.step);
   const Declarations* all = declarations(state.cache);
-  bool overdue = now.wall >= closure.deadline + config::kZoneSilentAfter;
+  bool overdue = now.wall >= closure.deadline + config::kClosureZoneTimeout;
   std::vector<ZoneName> skipped;
   for (const auto& [zone, unused] : all->zones) {
     if (step_of_zone(closure, zone) >= goal) continue;
@@ -139,7 +139,7 @@
   }
   closure.step = goal;
   for (const ZoneName& zone : skipped) {
-    auto& known = closure.not_heard;
+    auto& known = closure.not_reported;
     if (std::find(known.begin(), known.end(), zone) == known.end())
       known.push_back(zone);
   }
--- a/src/core/operator/fan_out.h
+++ b/src/core/operator/fan_out.h
@@ -12,7 +12,7 @@
 namespace eelgrasspin::core::operators {
 
 /// Sends the query to every daemon on a roster. The answer names those that did
-/// not reply within config::kFanOutLimit.
+/// not reply within config::kFanOutTimeout.
 void start_fan_out(core::State& state, const CommandReceived& received,
                    const ShowCommand& show, Now now, Effects& effects);
 
--- a/src/core/operator/report.cc
+++ b/src/core/operator/report.cc
@@ -48,12 +48,13 @@
                     "answered", "not_run", "unknown", "in_flight"},
                    {}}};
   for (const DaemonAccount& account : part.accounts) {
-    bool not_heard = std::find(part.not_heard.begin(), part.not_heard.end(),
-                               account.daemon) != part.not_heard.end();
+    bool not_reported =
+        std::find(part.not_reported.begin(), part.not_reported.end(),
+                  account.daemon) != part.not_reported.end();
     section.table.rows.push_back(
         {account.daemon.str(), number(account.incarnation.value),
          format_time(account.as_of),
-         not_heard ? "not heard since as_of" : "yes",
+         not_reported ? "not heard since as_of" : "yes",
          number(account.counts.admitted),
          number(total(account.counts, Outcome::kAnswered)),
          number(total(account.counts, Outcome::kNotRun)),
--- a/src/core/request/accounts.cc
+++ b/src/core/request/accounts.cc
@@ -15,7 +15,7 @@
       state.request.service_stats.try_emplace(request.stats_service);
   if (inserted)
     it->second.retry_credit_percent =
-        config::kRetryBudgetStart * kRetryCostPercent;
+        config::kInitialRetryBudget * kRetryCostPercent;
   return it->second;
 }
 
@@ -44,7 +44,7 @@
   ++stats.counts.in_flight;
   stats.retry_credit_percent = std::min<std::uint64_t>(
       stats.retry_credit_percent + config::kRetryBudgetPercent,
-      config::kRetryBudgetMax * kRetryCostPercent);
+      config::kMaxRetryBudget * kRetryCostPercent);
 }
 
 void count_end(core::State& state, const OpenRequest& request, Outcome outcome,
@@ -57,7 +57,8 @@
   if (outcome == Outcome::kAnswered) return;
   stats.samples.push_back(
       {now.wall, request.operation, request.key, outcome, reason});
-  if (stats.samples.size() > config::kRefusalSamples) stats.samples.pop_front();
+  if (stats.samples.size() > config::kMaxRefusalSamples)
+    stats.samples.pop_front();
 }
 
 bool try_spend_retry(core::State& state, const OpenRequest& request) {
--- a/src/core/request/entry.cc
+++ b/src/core/request/entry.cc
@@ -197,9 +197,9 @@
     hold(state, request, now.mono);
     return;
   }
-  Reason reason = result.connection_died ? Reason::kServerFailed
-                  : retryable            ? Reason::kRetryBudgetSpent
-                                         : result.reason;
+  Reason reason = result.connection_closed ? Reason::kServerFailed
+                  : retryable              ? Reason::kRetryBudgetSpent
+                                           : result.reason;
   end_refused(state, request, {.outcome = Outcome::kUnknown, .reason = reason},
               now, effects);
 }
--- a/src/core/request/front_queue.cc
+++ b/src/core/request/front_queue.cc
@@ -58,7 +58,7 @@
   }
   ownership::SendCheck check =
       ownership::check_send(state, server, request.slot, request.key, now);
-  if (check.permission == ownership::SendPermission::kGone)
+  if (check.permission == ownership::SendPermission::kNotFront)
     scan.not_owned.push_back(id);
   if (check.permission != ownership::SendPermission::kSend) return false;
   if (!has_required_intent(state, request)) return false;
--- a/src/core/request/intents.cc
+++ b/src/core/request/intents.cc
@@ -159,7 +159,7 @@
 }
 
 bool should_give_up(const core::State& state, const LedgerCall& call) {
-  if (call.has_outcomes) return call.attempts >= config::kIntentOutcomeTries;
+  if (call.has_outcomes) return call.attempts >= config::kMaxIntentOutcomeSends;
   for (RequestId id : call.requests) {
     auto it = state.request.open.find(id);
     if (it != state.request.open.end() &&
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -60,7 +60,7 @@
     } else if (!same && !may_run) {
       set_verdict(state, ledger, item, {.earlier = known->second.intent},
                   effects);
-    } else if (segment.intents.size() >= config::kIntentSegmentEntries) {
+    } else if (segment.intents.size() >= config::kMaxIntentSegmentEntries) {
       later.push_back(std::move(item));
     } else {
       ledger.index[key] = {.intent = item.intent,
--- a/src/core/request/load.cc
+++ b/src/core/request/load.cc
@@ -55,7 +55,7 @@
             });
   if (load.slot_rates.size() > kMaxReportedSlots)
     load.slot_rates.resize(kMaxReportedSlots);
-  for (const auto& item : ownership::top(counts.keys, kMaxReportedKeys))
+  for (const auto& item : ownership::top_keys(counts.keys, kMaxReportedKeys))
     load.hot_keys.push_back({item.key, rate_of(item.count)});
   return load;
 }
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -73,7 +73,7 @@
   ++pending.send_count;
   if (membership::coordinates(state, state.self.zone, now)) {
     on_strike_report(state, pending.report);
-    pending.send_count = config::kStrikeTries;
+    pending.send_count = config::kMaxStrikeSends;
     return;
   }
   Endpoint to = membership::coordinator_address(state, state.self.zone);
@@ -90,7 +90,7 @@
     if (due) send_report(state, strike, now, effects);
   }
   std::erase_if(pending, [](const PendingStrike& strike) {
-    return strike.send_count >= config::kStrikeTries;
+    return strike.send_count >= config::kMaxStrikeSends;
   });
 }
 
