--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -39,7 +39,7 @@
   return sum;
 }
 
-bool all_heard_recently(const core::State& state, Now now) {
+bool all_reported_recently(const core::State& state, Now now) {
   const auto& received = membership::received_accounts(state);
   return std::all_of(received.begin(), received.end(), [&](const auto& entry) {
     return now.mono - entry.second.received < config::kDaemonLostAfter;
@@ -107,7 +107,7 @@
       return all_have_read(state, progress.announced);
     case ClosureStep::kDrained:
       if (now.wall >= closure.deadline) return true;
-      return all_heard_recently(state, now) &&
+      return all_reported_recently(state, now) &&
              in_flight(state, closure.service) == 0;
     case ClosureStep::kRevoked:
       return ownership::owned_units(state, closure.service, zone) == 0;
