--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -13,11 +13,11 @@
 constexpr std::size_t kMaxRecentReports = 256;
 constexpr std::size_t kMaxReleasedEntries = 64;
 
-std::uint32_t strikes_elsewhere(const std::map<ZoneName, Strikes>& zones,
-                                const ZoneName& except, Now now) {
+std::uint32_t strikes_in_other_zones(const std::map<ZoneName, Strikes>& zones,
+                                     const ZoneName& excluded, Now now) {
   std::uint32_t count = 0;
   for (const auto& [zone, strikes] : zones) {
-    if (zone != except && now.wall < strikes.until) count += strikes.count;
+    if (zone != excluded && now.wall < strikes.until) count += strikes.count;
   }
   return count;
 }
@@ -213,17 +213,18 @@
   const Quarantine& quarantine = state.request.quarantine;
   if (quarantine.listed.empty() && quarantine.local_strikes.empty())
     return false;
-  std::uint32_t here = 0;
-  auto seen = quarantine.local_strikes.find(fingerprint);
-  if (seen != quarantine.local_strikes.end() && now.wall < seen->second.until)
-    here = seen->second.count;
-  std::uint32_t elsewhere = 0;
+  std::uint32_t own_zone = 0;
+  auto local = quarantine.local_strikes.find(fingerprint);
+  if (local != quarantine.local_strikes.end() && now.wall < local->second.until)
+    own_zone = local->second.count;
+  std::uint32_t other_zones = 0;
   auto listed = quarantine.listed.find(fingerprint);
   if (listed != quarantine.listed.end()) {
-    elsewhere = strikes_elsewhere(listed->second, state.self.zone, now);
-    here = std::max(here, strikes_in(listed->second, state.self.zone, now));
+    other_zones = strikes_in_other_zones(listed->second, state.self.zone, now);
+    own_zone =
+        std::max(own_zone, strikes_in(listed->second, state.self.zone, now));
   }
-  return here + elsewhere >= config::kQuarantineStrikes;
+  return own_zone + other_zones >= config::kQuarantineStrikes;
 }
 
 void update_strikes(core::State& state, const OpenRequest& request,
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -18,8 +18,8 @@
 bool is_quarantined(const core::State& state, std::uint64_t fingerprint,
                     Now now);
 
-/// Updates a request's strikes after an attempt at a server: if the connection
-/// died there is one more, an answer clears them.
+/// Updates a request's strikes after an attempt at a server: a lost
+/// connection adds one, an answer clears them.
 void update_strikes(core::State& state, const OpenRequest& request,
                     const AttemptResult& result, Now now);
 
