--- a/tests/request_entry_test.cc
+++ b/tests/request_entry_test.cc
@@ -58,8 +58,8 @@
 TEST(Entry, ForwardsToTheFrontAndRelaysItsAnswer) {
   Daemon daemon;
   SendToFront sent = forwarded(daemon.arrive(1, head("GET", kOtherZoneKey)));
-  EXPECT_EQ(sent.front, kPortThere);
-  EXPECT_EQ(sent.server, kServerThere);
+  EXPECT_EQ(sent.front, kOtherEndpoint);
+  EXPECT_EQ(sent.server, kOtherServer);
   EXPECT_TRUE(sent.repeatable);
   EXPECT_LT(sent.time_left, milliseconds(1000));
   Effects ended = daemon.end(sent.request, sent.attempt, AttemptAnswered{});
@@ -163,11 +163,12 @@
   Daemon daemon;
   daemon.put_owner(kOtherZone, kOtherServer, 2, SlotPhase::kMoving);
   EXPECT_TRUE(
-      only<SendToFront>(daemon.arrive(1, head("GET", kOtherZoneKey))).empty());
+      effects_of<SendToFront>(daemon.arrive(1, head("GET", kOtherZoneKey)))
+          .empty());
   daemon.run(milliseconds(300));
   daemon.put_owner(kOtherZone, kOtherServer, 3);
   EXPECT_EQ(forwarded(daemon.run(milliseconds(20))).epoch, Epoch(3));
-  daemon.put_owner(kThere, kServerThere, 4, SlotPhase::kUnassigned);
+  daemon.put_owner(kOtherZone, kOtherServer, 4, SlotPhase::kUnassigned);
   daemon.arrive(2, head("GET", kOtherZoneKey));
   Effects effects = daemon.run(milliseconds(1100));
   std::vector<RefuseRequest> ends = effects_of<RefuseRequest>(effects);
@@ -185,14 +186,14 @@
   std::size_t refusals = 0;
   for (std::uint64_t id = 1; id <= config::kMaxHeldRequests + 5; ++id)
     refusals +=
-        only<RefuseRequest>(daemon.arrive(id, head("GET", kOtherZoneKey)))
+        effects_of<RefuseRequest>(daemon.arrive(id, head("GET", kOtherZoneKey)))
             .size();
   EXPECT_EQ(refusals, 5U);
 }
 
 TEST(Entry, RefusesAForwardedRequestThatIsNotForItsServers) {
   Daemon daemon;
-  ForwardedFrom from{kDaemonThere, kServerThere, SlotId(9), Epoch(1)};
+  ForwardedFrom from{kOtherDaemon, kOtherServer, SlotId(9), Epoch(1)};
   RefuseRequest end =
       refused(daemon.arrive(1, head("GET", kOtherZoneKey), from));
   EXPECT_EQ(end.outcome, Outcome::kNotRun);
