--- a/include/eelgrasspin/backend_server_control.h
+++ b/include/eelgrasspin/backend_server_control.h
@@ -8,14 +8,14 @@
 
 namespace eelgrasspin {
 
-/// Sends orders to backend servers.
+/// Sends grant orders to backend servers.
 class BackendServerControl {
  public:
   using Callback = std::function<void(GrantReply)>;
 
   virtual ~BackendServerControl() = default;
-  /// Answers exactly once, GrantUnreachable after config::kGrantCallTimeout at
-  /// the latest.
+  /// Calls `done` exactly once, at the latest after config::kGrantCallTimeout
+  /// with GrantUnreachable.
   virtual void order(const ServerName& server, const Endpoint& address,
                      const GrantOrder& order, Callback done) = 0;
 };
--- a/include/eelgrasspin/command.h
+++ b/include/eelgrasspin/command.h
@@ -11,8 +11,8 @@
 #include "eelgrasspin/result.h"
 #include "eelgrasspin/units.h"
 
-/// The operators' query and command language as data. Text form:
-/// docs/COMMANDS.md.
+/// Parsed form of the operators' queries and commands. The grammar of the text
+/// form is in docs/COMMANDS.md.
 namespace eelgrasspin {
 
 enum class Subject : std::uint8_t {
@@ -42,7 +42,7 @@
   kGreaterOrEqual
 };
 
-/// "column = value" of a where clause.
+/// One "column = value" condition of a where clause.
 struct Condition {
   std::string column;
   Comparison comparison = Comparison::kEqual;
@@ -74,7 +74,7 @@
 struct MoveCommand {
   ServiceName service;
   std::optional<SlotId> slot;
-  Key key;  ///< Carved out of its slot when set.
+  Key key;  ///< If set, the key is carved out of its slot.
   ServerName server;
   ZoneName zone;
 
@@ -133,7 +133,7 @@
   bool operator==(const StopDaemonCommand&) const = default;
 };
 
-/// fence zone ZONE | fence daemon DAEMON: the operator vouches that its
+/// fence zone ZONE | fence daemon DAEMON: the operator guarantees that its
 /// processes are dead.
 struct FenceCommand {
   ZoneName zone;
@@ -155,7 +155,7 @@
                  ShowClosureCommand, ReportCommand, StopDaemonCommand,
                  FenceCommand, ReleaseCommand>;
 
-/// Rows of text under named columns.
+/// Text table with named columns.
 struct Table {
   std::vector<std::string> columns;
   std::vector<std::vector<std::string>> rows;
@@ -163,7 +163,7 @@
   bool operator==(const Table&) const = default;
 };
 
-/// A titled part of an answer.
+/// A part of an answer with its own title.
 struct Section {
   std::string title;
   Table table;
@@ -171,13 +171,12 @@
   bool operator==(const Section&) const = default;
 };
 
-/// Answer to one command.
+/// Answer to a command.
 struct CommandAnswer {
   std::optional<Error> error;
-  std::string message;  ///< One line for a person.
-  CommandId command;    ///< Set for orders.
-  Version
-      version;  ///< Version of the object that was written or shown; 0 if none.
+  std::string message;  ///< One line for the operator.
+  CommandId command;    ///< Empty for queries.
+  Version version;      ///< Version of the object written or shown; 0 if none.
   std::vector<Section> sections;
 };
 
--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -6,70 +6,76 @@
 
 #include "eelgrasspin/units.h"
 
-/// Every limit and default of the project.
+/// Limits and defaults of the project.
 namespace eelgrasspin::config {
 
 // Decision core.
 inline constexpr Duration kTickInterval = milliseconds(20);
-/// A gap between two events above this is treated as a pause of the process:
-/// leases are checked before anything else.
+/// A longer gap between two events is treated as a pause of the process: leases
+/// are checked before anything else.
 inline constexpr Duration kPauseThreshold = milliseconds(400);
 
 // Coordinator lease, in the store.
 inline constexpr Duration kCoordinatorLeaseTerm = milliseconds(2000);
 inline constexpr Duration kCoordinatorRenewInterval = milliseconds(500);
-/// Allowance for two clocks running at different rates, on every lease.
+/// Safety margin on every lease, for clocks that run at different rates.
 inline constexpr Duration kLeaseMargin = milliseconds(100);
-/// Silence of the coordinator after which a daemon of its zone reads the lease
-/// itself.
-inline constexpr Duration kCoordinatorTimeout = milliseconds(1000);
+/// A daemon reads its zone's lease from the store itself after this time
+/// without a message from the coordinator.
+inline constexpr Duration kCoordinatorSilence = milliseconds(1000);
 inline constexpr Duration kLeaseReadInterval = milliseconds(500);
-/// Extra wait before a daemon of another zone of the region stands for an empty
-/// zone's coordinator.
-inline constexpr Duration kOtherZoneCandidateDelay = milliseconds(3000);
-/// Wait between the claims of two candidates of a zone, by their rank.
+/// Extra wait before a daemon of another zone in the region is a candidate for
+/// coordinator of a zone without daemons.
+inline constexpr Duration kForeignCandidateDelay = milliseconds(3000);
+/// Delay per rank of the candidates of a zone, so that they do not claim its
+/// lease at once.
 inline constexpr Duration kClaimStagger = milliseconds(50);
-/// Candidates of a zone that read its lease at the full rate; later ranks read
-/// less often.
+/// Number of candidates of a zone that read its lease at the full rate; lower
+/// ranked ones read it less often.
 inline constexpr std::uint32_t kLeaseReadersAtFullRate = 4;
 
 // Membership inside a zone.
 inline constexpr Duration kHeartbeatInterval = milliseconds(500);
-/// Least time between two heartbeats when a front has news.
+/// Minimum time between two heartbeats when a front has a change to report.
 inline constexpr Duration kUrgentHeartbeatInterval = milliseconds(40);
+/// A daemon is removed from its roster after this time without a heartbeat.
 inline constexpr Duration kDaemonLostAfter = milliseconds(1500);
-/// A front that hears neither the store nor any other daemon of its roster
-/// stops renewing after this.
-inline constexpr Duration kIsolatedFrontTimeout = milliseconds(3000);
-/// From the last promise not to answer a lost front until its grants count as
-/// lapsed: the lone-front wait, the term and an allowance for clock rates.
-inline constexpr Duration kIsolatedFrontLapseDelay = milliseconds(5200);
-/// Roster members that a daemon exchanges hellos with, half on each side of it
-/// in the order of names.
+/// A front stops renewing grants after this time without contact to the store
+/// or to any other daemon of its roster.
+inline constexpr Duration kLoneFrontAfter = milliseconds(3000);
+/// A lost front's grants count as lapsed this long after the last member
+/// promised not to answer it: kLoneFrontAfter, the grant term and a margin for
+/// clock rates.
+inline constexpr Duration kLoneFrontProof = milliseconds(5200);
+/// Number of roster members with which a daemon exchanges hellos, half on each
+/// side of it in the ring ordered by name.
 inline constexpr std::uint32_t kHelloNeighbours = 4;
-/// Longest time between two looks of a coordinator at its roster.
-inline constexpr Duration kRosterCheckInterval = milliseconds(100);
-/// Silence after which a daemon forgets another one.
+/// Maximum time between two checks of the roster by its coordinator.
+inline constexpr Duration kRosterInterval = milliseconds(100);
+/// A daemon forgets another one after this time without a message from it.
 inline constexpr Duration kPeerRetention = minutes(2);
-/// Rounds of heartbeats whose sending times are kept.
-inline constexpr std::size_t kMaxHeartbeatRounds = 16;
+/// Number of heartbeat rounds whose send times are kept.
+inline constexpr std::size_t kHeartbeatRounds = 16;
 
 // Grants.
 inline constexpr Duration kGrantTerm = milliseconds(2000);
 inline constexpr Duration kGrantRenewInterval = milliseconds(500);
 inline constexpr Duration kGrantCallTimeout = milliseconds(400);
-/// Interval of orders while a backend server still works on what was revoked.
+/// Interval between orders while a backend server still runs requests on
+/// revoked slots.
 inline constexpr Duration kRevocationPollInterval = milliseconds(50);
 
 // Store access.
 inline constexpr Duration kStoreTimeout = milliseconds(1000);
 inline constexpr Duration kStoreRetryInterval = milliseconds(250);
 inline constexpr Duration kStoreWatchTimeout = seconds(20);
-/// Silence of the store after which it counts as not heard.
-inline constexpr Duration kStoreUnreachableAfter = milliseconds(2500);
-/// Least time between two watches of a coordinator, unless it wrote itself.
-inline constexpr Duration kMinWatchInterval = milliseconds(250);
-/// Time between two full lists of a daemon that no coordinator relays to.
+/// The store counts as unreachable after this time without an answer.
+inline constexpr Duration kStoreSilence = milliseconds(2500);
+/// Minimum time between two watch calls of a coordinator, unless it has written
+/// to the store itself.
+inline constexpr Duration kWatchPause = milliseconds(250);
+/// Interval between full lists by a daemon that receives no relay from a
+/// coordinator.
 inline constexpr Duration kUnrelayedListInterval = seconds(3);
 inline constexpr std::size_t kMaxRelayEntries = 64;
 inline constexpr std::size_t kStoreValueMaxBytes = 1'000'000;
@@ -82,24 +88,24 @@
 
 // Placement.
 inline constexpr Duration kPlacementInterval = seconds(5);
-/// Span over which fronts average the rates that they report.
+/// Time over which fronts average the rates that they report.
 inline constexpr Duration kRateWindow = seconds(10);
-/// A unit that moved stays where it is for this long.
+/// A unit is not moved again for this long after a move.
 inline constexpr Duration kMoveCooldown = seconds(60);
-/// A server that came back takes its full share of load after this.
+/// Time over which a returned server ramps up to its full share of load.
 inline constexpr Duration kColdStartRamp = seconds(30);
-/// Level of load, against the mean, above which a server gives load away ...
-inline constexpr double kOverloadStartRatio = 1.25;
-/// ... until it is at most at this level.
-inline constexpr double kOverloadStopRatio = 1.10;
-/// Level below which a server is given load.
-inline constexpr double kUnderloadRatio = 0.60;
-/// Cost of moving one slot, in units of the imbalance measure.
+/// Load relative to the mean above which units are moved off a server.
+inline constexpr double kOverloadStart = 1.25;
+/// Load relative to the mean at which moving units off a server stops.
+inline constexpr double kOverloadStop = 1.10;
+/// Load relative to the mean below which units are moved to a server.
+inline constexpr double kUnderloadStart = 0.60;
+/// Cost of moving one slot, in units of imbalance().
 inline constexpr double kSlotMoveCost = 0.0005;
-/// Cost of moving one carved-out key, in units of the imbalance measure.
+/// Cost of moving one carved-out key, in units of imbalance().
 inline constexpr double kKeyMoveCost = 0.00002;
-/// Carved-out keys that are not among their server's busiest for this long go
-/// back to their slots.
+/// A carved-out key is merged into its slot when it has not been among its
+/// server's busiest keys for this long.
 inline constexpr Duration kColdKeyAfter = seconds(120);
 
 // Requests.
@@ -111,54 +117,58 @@
 inline constexpr std::size_t kMaxIdempotencyKeyBytes = 128;
 inline constexpr std::uint32_t kMaxHops = 4;
 inline constexpr std::uint32_t kDefaultQueueLimit = 64;
-/// Share of requests that may be sent again, in percent.
+/// Maximum share of requests that may be retried, in percent.
 inline constexpr std::uint32_t kRetryBudgetPercent = 10;
 inline constexpr std::uint32_t kMaxAttempts = 4;
-inline constexpr Duration kRetryDelay = milliseconds(50);
-/// Retries that a service's budget holds at the start and at most.
-inline constexpr std::uint32_t kInitialRetryBudget = 10;
-inline constexpr std::uint32_t kMaxRetryBudget = 100;
-/// Requests that one entry holds while their keys have no usable owner.
+inline constexpr Duration kRetryPause = milliseconds(50);
+/// Retries that a service's retry budget allows at the start, and the maximum
+/// that it accumulates.
+inline constexpr std::uint32_t kRetryBudgetStart = 10;
+inline constexpr std::uint32_t kRetryBudgetMax = 100;
+/// Maximum number of requests that one entry holds while their keys have no
+/// usable owner.
 inline constexpr std::size_t kMaxHeldRequests = 4096;
-/// A forwarded request's deadline is this much before its entry's, so that the
-/// front's own verdict arrives in time.
+/// A forwarded request's deadline is this much earlier than at its entry, so
+/// that the front's answer arrives in time.
 inline constexpr Duration kForwardMargin = milliseconds(40);
-/// Retry-After of a request refused because a queue is full.
+/// Retry-After of requests shed because of full queues or missing owners.
 inline constexpr Duration kShedRetryAfter = milliseconds(500);
 inline constexpr std::size_t kMaxRefusalSamples = 16;
 inline constexpr std::uint32_t kQuarantineStrikes = 2;
 inline constexpr Duration kQuarantineTime = minutes(10);
-/// Deaths of one server's connections within this count once for a request.
+/// Connection losses of one server within this time count as one strike against
+/// a request.
 inline constexpr Duration kStrikeWindow = milliseconds(500);
 inline constexpr Duration kStrikeResendInterval = milliseconds(250);
 inline constexpr std::uint32_t kMaxStrikeSends = 4;
 inline constexpr std::size_t kMaxQuarantineEntries = 1024;
 inline constexpr Duration kIntentRetention = minutes(10);
 inline constexpr Duration kIntentCommitInterval = milliseconds(5);
-inline constexpr std::size_t kMaxIntentSegmentEntries = 512;
-/// Outcomes of intents are written together, at most this often.
+inline constexpr std::size_t kIntentSegmentEntries = 512;
+/// Minimum time between two writes of intent outcomes, which are written in
+/// batches.
 inline constexpr Duration kIntentOutcomeInterval = milliseconds(200);
-/// A message to the ledger writer is sent again after this.
+/// A message to the ledger writer is resent after this time without an answer.
 inline constexpr Duration kIntentResendInterval = milliseconds(250);
-/// Outcomes are told this often before a front gives up; repeats are then told
-/// "unknown".
-inline constexpr std::uint32_t kMaxIntentOutcomeSends = 8;
+/// Number of times that a front sends intent outcomes before it gives up; a
+/// repeat of the request is then answered with the outcome "unknown".
+inline constexpr std::uint32_t kIntentOutcomeTries = 8;
 inline constexpr Duration kIntentExpiryInterval = seconds(10);
 
 // Callers' connections.
 inline constexpr std::size_t kMaxCallerConnections = 4096;
-/// Longest time from a request's first byte to its last.
-inline constexpr Duration kRequestReceiveTimeout = seconds(10);
-inline constexpr Duration kIdleConnectionTimeout = seconds(75);
-/// Bodies of requests not yet ended, together.
+/// Maximum time between a request's first and last byte.
+inline constexpr Duration kReceiveLimit = seconds(10);
+inline constexpr Duration kIdleConnectionLimit = seconds(75);
+/// Maximum total size of the bodies of open requests.
 inline constexpr std::size_t kMaxHeldBodyBytes = 96 * 1024 * 1024;
 
 // Connections to backend servers.
 inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
-/// An idle connection younger than this counts as just shown to be alive.
-inline constexpr Duration kMaxOnceOnlyReuseAge = milliseconds(100);
-/// An idle connection older than this is replaced before use.
-inline constexpr Duration kMaxConnectionReuseAge = seconds(2);
+/// An idle connection counts as alive when its last answer is at most this old.
+inline constexpr Duration kVerifiedConnectionAge = milliseconds(100);
+/// An idle connection whose last answer is older than this is not reused.
+inline constexpr Duration kReusableConnectionAge = seconds(2);
 
 // Streams between daemons.
 inline constexpr Duration kPingInterval = milliseconds(500);
@@ -167,13 +177,14 @@
 
 // Operators.
 inline constexpr Duration kAccountInterval = seconds(5);
-/// A zone whose coordinator has not renewed for this long is passed over by a
-/// closure whose deadline has passed.
-inline constexpr Duration kClosureZoneTimeout = seconds(10);
-/// An order whose record is not confirmed by then is answered as unknown.
-inline constexpr Duration kOrderConfirmTimeout = seconds(4);
-inline constexpr Duration kFanOutTimeout = milliseconds(1500);
-/// Finished commands kept in the store.
+/// After its deadline, a closure skips a zone whose coordinator lease has not
+/// been renewed for this long.
+inline constexpr Duration kZoneSilentAfter = seconds(10);
+/// An order whose record the store has not confirmed after this time is
+/// answered as unknown.
+inline constexpr Duration kOrderConfirmLimit = seconds(4);
+inline constexpr Duration kFanOutLimit = milliseconds(1500);
+/// Maximum number of finished commands kept in the store.
 inline constexpr std::size_t kMaxFinishedCommands = 256;
 inline constexpr std::size_t kMaxTimelineEvents = 4096;
 inline constexpr Duration kGracefulStopTimeout = seconds(30);
--- a/include/eelgrasspin/declarations.h
+++ b/include/eelgrasspin/declarations.h
@@ -13,17 +13,17 @@
 
 namespace eelgrasspin {
 
-/// What other availability zones do with the slots of a zone that is cut off.
+/// What other availability zones do with the slots of an isolated zone.
 enum class IsolationPolicy : std::uint8_t { kKeep, kYield };
-/// What an at-most-once operation does while its zone is cut off from the
+/// How at-most-once operations are handled while their zone cannot reach the
 /// store.
 enum class StoreDownPolicy : std::uint8_t { kRefuse, kFrontLedger };
 
 /// One declared operation of a service.
 struct Operation {
   std::string name;
-  std::string method;  ///< HTTP method, upper case.
-  std::string path;    ///< Pattern below the service's prefix,
+  std::string method;  ///< HTTP method in upper case.
+  std::string path;    ///< Pattern below the service's prefix, such as
                        ///< "/pans/{key}/readings"; {key} is the routing key.
   ExecutionClass execution_class = ExecutionClass::kAtMostOnce;
 };
@@ -39,11 +39,9 @@
 struct ServiceDeclaration {
   ServiceName name;
   std::uint32_t key_slots =
-      config::kDefaultKeySlots;  ///< A power of two, fixed for the service's
-                                 ///< life.
+      config::kDefaultKeySlots;  ///< A power of two; cannot be changed later.
   Duration deadline = config::kDefaultDeadline;
-  /// Longest time a backend server works on one request, after which it has
-  /// given up on it.
+  /// A backend server aborts a request that runs for longer.
   Duration execution_limit = config::kDefaultExecutionLimit;
   std::uint32_t queue_limit =
       config::kDefaultQueueLimit;  ///< Per backend server.
@@ -64,16 +62,15 @@
   ServiceName service;
   ZoneName zone;
   Endpoint address;
-  std::uint32_t concurrency = 2;  ///< Requests it runs at once.
+  std::uint32_t concurrency = 2;  ///< Maximum number of requests run at once.
   std::uint32_t connections =
-      130;  ///< Connections it accepts, from all daemons together.
+      130;  ///< Maximum number of connections from all daemons together.
   Duration connection_interval =
-      milliseconds(1);  ///< Least time between two new connections.
+      milliseconds(1);  ///< Minimum time between two new connections.
   bool checks_grants = true;
 };
 
-/// Everything the operators declare. Attention: accepted as a whole or not at
-/// all.
+/// Everything that the operators declare; accepted as a whole or not at all.
 struct Declarations {
   std::string deployment;
   std::uint32_t schema = 1;
@@ -83,7 +80,7 @@
   std::string source;  ///< The INI text as accepted.
 };
 
-/// Servers of one service in one zone, by name.
+/// Servers of one service in one zone, ordered by name.
 std::vector<const ServerDeclaration*> servers_of(
     const Declarations& declarations, const ServiceName& service,
     const ZoneName& zone);
--- a/include/eelgrasspin/grant.h
+++ b/include/eelgrasspin/grant.h
@@ -9,46 +9,48 @@
 #include "eelgrasspin/peer_message.h"
 #include "eelgrasspin/units.h"
 
-/// The grant protocol between a front and a backend server that checks grants.
+/// Grant protocol between a front and a backend server that checks grants.
 namespace eelgrasspin {
 
-/// Front to server. A renewal extends nothing by arriving: the server counts
-/// `term` from the moment it sent the answer numbered `echo`, and the front
-/// from the moment it received that answer.
+/// Sent by a front to its server. The arrival of an order does not itself
+/// extend the grant: the server counts `term` from when it sent the answer
+/// numbered `echo`, the front from when it received that answer.
 struct GrantOrder {
   DaemonName front;
   FrontEpoch front_epoch;
   std::uint64_t sequence =
-      0;  ///< Up by one with each order of this front epoch; the first is 1.
-  std::uint64_t echo = 0;  ///< Sequence of the newest answer received; 0: none,
-                           ///< grants nothing yet.
+      0;  ///< Starts at 1 and increases by one per order of this front epoch.
+  std::uint64_t echo = 0;  ///< Sequence of the newest answer received; 0 if
+                           ///< none, then the order grants nothing yet.
   Duration term{0};
   std::uint64_t set_version =
-      0;  ///< Of `slots`; goes up with each change of the set.
-  bool carries_set = false;  ///< False: the set is the one last sent.
+      0;  ///< Version of the granted set; increases with each change.
+  bool carries_set = false;  ///< If false, `slots` is empty and the set last
+                             ///< sent still applies.
   std::vector<SlotGrant> slots;
   bool want_inventory =
-      false;  ///< The answer is to list what the server holds.
+      false;  ///< Asks for the server's grants in GrantAnswer::inventory.
 };
 
-/// Server's answer to an order that it obeys.
+/// The server's answer to an order that it accepts.
 struct GrantAnswer {
   Incarnation incarnation;
   FrontEpoch front_epoch;
   std::uint64_t sequence = 0;     ///< Of the order answered.
   std::uint64_t set_version = 0;  ///< Newest set received.
-  /// Newest set in force: each slot dropped by it has nothing running any more.
+  /// Newest set that is fully applied: no request is running on any slot that
+  /// it dropped.
   std::uint64_t applied_set_version = 0;
-  std::vector<SlotGrant> inventory;  ///< When asked for.
-  std::uint32_t running = 0;         ///< Requests running; a hint.
+  std::vector<SlotGrant> inventory;  ///< Only if the order asked for it.
+  std::uint32_t running = 0;         ///< Requests running; approximate.
 };
 
-/// The server obeys a front of a higher epoch.
+/// The server has accepted orders of a higher front epoch.
 struct GrantStale {
   FrontEpoch highest_epoch;
 };
 
-/// No answer was received: refused, timed out or broken.
+/// No answer was received: the connection was refused, timed out or broke.
 struct GrantUnreachable {
   bool connection_refused = false;
 };
--- a/include/eelgrasspin/ids.h
+++ b/include/eelgrasspin/ids.h
@@ -11,7 +11,7 @@
 
 namespace eelgrasspin {
 
-/// A name of one kind of thing. Names of different kinds do not mix.
+/// Strongly typed name: names with different tags do not convert to each other.
 template <class Tag>
 class Name {
  public:
@@ -33,7 +33,8 @@
   return out << name.str();
 }
 
-/// A number of one kind. Numbers of different kinds do not mix.
+/// Strongly typed number: numbers with different tags do not convert to each
+/// other.
 template <class Tag, class Rep = std::uint64_t>
 struct Number {
   Rep value = 0;
@@ -56,28 +57,29 @@
 using RegionName = Name<struct RegionNameTag>;
 using OperatorName = Name<struct OperatorNameTag>;
 using CallerName = Name<struct CallerNameTag>;
-/// A routing key inside a service, as a caller wrote it.
+/// Routing key within a service, exactly as the caller sent it.
 using Key = Name<struct KeyTag>;
 using StoreKey = Name<struct StoreKeyTag>;
 using CommandId = Name<struct CommandIdTag>;
-/// IP number and port, "127.0.0.1:7001".
+/// IP address and port, such as "127.0.0.1:7001".
 using Endpoint = Name<struct EndpointTag>;
 
-/// A partition of a service's keys; unit of ownership.
+/// A partition of a service's keys; the unit of ownership.
 using SlotId = Number<struct SlotIdTag, std::uint32_t>;
-/// Fencing token of one slot's ownership; a higher one makes lower ones void.
+/// Fencing token of one slot's ownership; a higher epoch invalidates lower
+/// ones.
 using Epoch = Number<struct EpochTag>;
 /// Fencing token of the front role of one backend server.
 using FrontEpoch = Number<struct FrontEpochTag>;
 /// Fencing token of the coordinator role of one availability zone.
 using TermEpoch = Number<struct TermEpochTag>;
-/// The object store's revision at which a value was last written; 0 means
-/// absent.
+/// Object store revision at which a value was last written; 0 means that the
+/// value is absent.
 using Version = Number<struct VersionTag>;
-/// A start of a process: differs between two starts of the same name.
+/// Identifies one run of a process; two runs under the same name differ.
 using Incarnation = Number<struct IncarnationTag>;
 
-/// Local to one daemon's run.
+// The following ids are unique within one run of a daemon only.
 using RequestId = Number<struct RequestIdTag>;
 using AttemptId = Number<struct AttemptIdTag>;
 using StoreOpId = Number<struct StoreOpIdTag>;
--- a/include/eelgrasspin/object_store.h
+++ b/include/eelgrasspin/object_store.h
@@ -13,7 +13,7 @@
 namespace eelgrasspin {
 
 struct StoreRead {
-  Version revision;  ///< Of the store when it was read.
+  Version revision;  ///< Store revision at the time of the read.
   std::vector<StoreEntry> entries;
 };
 
@@ -21,14 +21,13 @@
   Version version;
 };
 
-/// The expected version is not the current one; nothing was written. `current`
-/// is what is there.
+/// The key is not at the expected version; nothing was written. `current` is
+/// its present entry.
 struct StoreConflict {
   StoreEntry current;
 };
 
-/// No answer. Attention: a write may have taken effect, or may still take
-/// effect later.
+/// No answer. A write may have taken effect, or may still take effect later.
 struct StoreUnavailable {
   std::string reason;
 };
@@ -36,22 +35,23 @@
 using StoreResult =
     std::variant<StoreRead, StoreWritten, StoreConflict, StoreUnavailable>;
 
-/// The platform's object store. Each call answers exactly once and counts
-/// against the platform's rates.
+/// The platform's object store. Each call invokes its callback exactly once and
+/// counts against the platform's rate limits.
 class ObjectStore {
  public:
   using Callback = std::function<void(StoreResult)>;
 
   virtual ~ObjectStore() = default;
-  /// Reads one key; an absent one gives an entry with version 0.
+  /// Reads one key; an absent key yields an entry with version 0.
   virtual void read(const StoreKey& key, Callback done) = 0;
-  /// Reads every key that starts with `prefix`.
+  /// Reads all keys that start with `prefix`.
   virtual void list(const StoreKey& prefix, Callback done) = 0;
-  /// Writes if the key is still at version `expected` (0: absent). A monostate
+  /// Writes if the key is at version `expected`; 0 means absent. A monostate
   /// record deletes the key.
   virtual void write(const StoreKey& key, Version expected,
                      const Record& record, Callback done) = 0;
-  /// Answers with the entries changed after `since`, or empty after `wait`.
+  /// Waits for entries changed after revision `since` and reads them; yields
+  /// none if there is no change within `wait`.
   virtual void watch(const StoreKey& prefix, Version since, Duration wait,
                      Callback done) = 0;
 };
--- a/include/eelgrasspin/outcome.h
+++ b/include/eelgrasspin/outcome.h
@@ -6,14 +6,14 @@
 
 namespace eelgrasspin {
 
-/// How a request ended. Each request has exactly one.
+/// How a request ended. Each request has exactly one outcome.
 enum class Outcome : std::uint8_t {
-  kAnswered,  ///< The caller was given the backend server's whole answer.
-  kNotRun,    ///< Provably never reached a backend server's handler.
-  kUnknown,   ///< Sent, but no whole answer was seen; it may have run.
+  kAnswered,  ///< The caller received the backend server's complete answer.
+  kNotRun,    ///< Has certainly not reached a backend server's handler.
+  kUnknown,   ///< Sent, but no complete answer was received; may have run.
 };
 
-/// Why a request was refused or its outcome is unknown.
+/// Why a request was refused or why its outcome is unknown.
 enum class Reason : std::uint8_t {
   kNone,
   kBadRequest,
@@ -22,42 +22,42 @@
   kIdempotencyKeyMissing,
   kIdempotencyKeyInvalid,
   kBodyTooLarge,
-  kDeadlinePassed,  ///< In a queue, before anything was sent.
+  kDeadlinePassed,  ///< While queued, before anything was sent.
   kQueueFull,
   kCallerOverShare,
   kNoOwner,
-  kOwnerUnreachable,  ///< No connection could be made.
+  kOwnerUnreachable,  ///< No connection could be established.
   kMoved,             ///< The slot's owner changed before the request was sent.
-  kGrantRefused,      ///< The backend server's own check refused it.
+  kGrantRefused,      ///< The backend server's grant check refused it.
   kQuarantined,
   kServiceClosed,
   kStopping,
   kHopLimit,
   kIntentNotRecorded,  ///< The store did not confirm the intent.
-  kRepeatInProgress,   ///< The same idempotency key is running now.
+  kRepeatInProgress,   ///< A request with the same idempotency key is running.
   kRepeatOutcomeUnknown,
-  kPushback,  ///< The backend server shed it.
+  kPushback,  ///< The backend server shed the request.
   kCancelled,
   kTimeoutAfterSend,
   kConnectionLost,
   kTruncatedAnswer,
   kRetryBudgetSpent,
   kServerFailed,
-  kRepeatAnswered,  ///< The operation was answered before, under the same
-                    ///< idempotency key; this repeat did not run.
+  kRepeatAnswered,  ///< An earlier request with the same idempotency key was
+                    ///< answered; this repeat did not run.
   kCount,
 };
 
 std::string_view to_string(Outcome outcome);
 std::string_view to_string(Reason reason);
-/// HTTP status told to the caller for a refusal or unknown outcome.
+/// HTTP status sent to the caller for a refusal or an unknown outcome.
 int http_status(Outcome outcome, Reason reason);
 
-/// What may be done with an operation when its answer was not seen.
+/// Whether an operation may be sent again when its answer was not received.
 enum class ExecutionClass : std::uint8_t {
   kRead,        ///< Changes nothing; may be sent again.
-  kIdempotent,  ///< May be sent again with the same effect.
-  kAtMostOnce,  ///< Never sent twice; needs an idempotency key.
+  kIdempotent,  ///< Has the same effect when sent again.
+  kAtMostOnce,  ///< Never sent twice; requires an idempotency key.
 };
 
 std::string_view to_string(ExecutionClass execution_class);
--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -14,11 +14,11 @@
 #include "eelgrasspin/records.h"
 #include "eelgrasspin/units.h"
 
-/// Control messages between daemons. Each may be lost, delayed or doubled; all
-/// are safe to receive twice.
+/// Control messages between daemons. Each may be lost, delayed or duplicated;
+/// receiving one twice has no further effect.
 namespace eelgrasspin {
 
-/// One unit of ownership at one epoch: a slot, or a key carved out of its slot.
+/// A unit of ownership at an epoch: a slot, or a key carved out of its slot.
 struct SlotGrant {
   SlotId slot;
   Key key;  ///< Empty for the whole slot.
@@ -34,74 +34,75 @@
   bool operator==(const HotKey&) const = default;
 };
 
-/// What the front of one backend server knows about it.
+/// State of one backend server as known to its front.
 struct FrontReport {
   ServerName server;
   FrontEpoch front_epoch;
-  bool holds_grant = false;  ///< The server confirmed a grant of this front and
-                             ///< its term has not passed.
-  bool lapsed = false;  ///< Attested: no grant of this or an earlier front can
-                        ///< be in force any more.
+  bool holds_grant = false;  ///< The server confirmed a grant of this front
+                             ///< that has not expired.
+  bool lapsed = false;  ///< Attests that no grant of this or an earlier front
+                        ///< can be in force any more.
   bool stopped =
-      false;  ///< This front has stopped sending and renewing for good.
-  std::vector<SlotGrant> released;  ///< Slots whose revocation the server
-                                    ///< acknowledged, at the epoch they had.
+      false;  ///< This front has permanently stopped sending and renewing.
+  std::vector<SlotGrant> released;  ///< Units whose revocation the server
+                                    ///< acknowledged, with their last epoch.
   double requests_per_second = 0;
   std::uint32_t queued = 0;
   std::uint32_t running = 0;
   std::vector<std::pair<SlotId, double>>
-      slot_rates;                ///< The busiest slots, requests per second.
-  std::vector<HotKey> hot_keys;  ///< The busiest keys.
-  bool grant_expired = false;    ///< No grant lets the server start work any
-                               ///< more; what it had begun may still run.
-  Version map_version;  ///< Ownership map that the front acts on; `lapsed` and
-                        ///< `released` hold for units that are not owned in it.
+      slot_rates;                ///< Busiest slots with requests per second.
+  std::vector<HotKey> hot_keys;  ///< Busiest keys.
+  bool silent = false;  ///< The server does not answer and no grant allows it
+                        ///< to start requests; started ones may still run.
+  Version map_version;  ///< Ownership map used by the front; `lapsed` and
+                        ///< `released` apply to units not owned in that map.
 
   bool operator==(const FrontReport&) const = default;
 };
 
-/// Daemon to its zone's coordinator, each heartbeat interval.
+/// Sent by a daemon to its zone's coordinator in each heartbeat interval.
 struct Heartbeat {
   DaemonName daemon;
   ZoneName zone;
   Endpoint address;
   Incarnation incarnation;
-  TermEpoch coordinator_epoch;  ///< The coordinator it believes in.
+  TermEpoch coordinator_epoch;  ///< Latest coordinator term known to it.
   std::uint64_t round = 0;      ///< Echoed by the coordinator.
-  Version cache_revision;       ///< Highest store revision seen without a gap.
-  bool stopping = false;        ///< Give its roles to others.
-  bool reaches_store = false;
-  /// Lost members of its roster; it answers none of them any more.
-  std::vector<DaemonName> ignored_members;
+  Version cache_revision;       ///< Its cache is complete up to here.
+  bool stopping = false;        ///< Its roles are to be given to others.
+  bool hears_store = false;
+  /// Lost members of its roster, none of which it answers any more.
+  std::vector<DaemonName> silent;
   std::vector<FrontReport> fronts;
   std::map<ServiceName, DaemonAccount> accounts;
 
   bool operator==(const Heartbeat&) const = default;
 };
 
-/// Coordinator to each daemon of its zone: answer to a heartbeat.
+/// The coordinator's answer to a heartbeat.
 struct HeartbeatAnswer {
   ZoneName zone;
   DaemonName coordinator;
   TermEpoch coordinator_epoch;
   std::uint64_t round = 0;
-  Version revision;  ///< The coordinator's own store revision.
+  Version revision;  ///< Store revision known to the coordinator.
 
   bool operator==(const HeartbeatAnswer&) const = default;
 };
 
-/// Changed store values, relayed inside a zone, in order of version.
+/// Changed store entries in order of version, relayed by a coordinator within
+/// its zone.
 struct StoreRelay {
   ZoneName zone;
   TermEpoch coordinator_epoch;
-  Version since;     ///< The values are complete from here ...
-  Version revision;  ///< ... up to here.
+  Version since;     ///< Contains every change after this revision ...
+  Version revision;  ///< ... up to and including this one.
   std::vector<StoreEntry> entries;
 
   bool operator==(const StoreRelay&) const = default;
 };
 
-/// Asks any daemon for what it knows of the store; sent by a daemon that starts
+/// Asks a daemon for its cached store entries; sent by a daemon that starts
 /// while the store is down.
 struct CacheRequest {
   DaemonName daemon;
@@ -110,34 +111,36 @@
   bool operator==(const CacheRequest&) const = default;
 };
 
-/// Roster members to each other, each heartbeat interval: "I run".
+/// Exchanged by roster members in each heartbeat interval to show that they are
+/// running.
 struct PeerHello {
   DaemonName daemon;
   ZoneName zone;
   Incarnation incarnation;
   std::uint64_t round = 0;  ///< Of the sender.
-  std::uint64_t echo = 0;   ///< Newest round received from the receiver; 0:
-                            ///< none, or the sender may not vouch for it.
+  std::uint64_t echo = 0;   ///< Newest round received from the receiver; 0 if
+                            ///< none, or if the sender is stopping.
 
   bool operator==(const PeerHello&) const = default;
 };
 
-/// Front to its zone's ledger writer: record these before anything is sent.
+/// Sent by a front to its zone's ledger writer: intents to record before their
+/// requests are sent.
 struct IntentBatch {
   DaemonName daemon;
   Endpoint address;
-  std::uint64_t batch = 0;  ///< No two batches of any daemon share one.
+  std::uint64_t batch = 0;  ///< Unique among all batches of all daemons.
   std::vector<Intent> intents;
-  ZoneName zone;  ///< Whose ledger is meant.
+  ZoneName zone;  ///< Zone of the ledger.
 
   bool operator==(const IntentBatch&) const = default;
 };
 
-/// Ledger writer's verdict on each intent of a batch, in order.
+/// The ledger writer's verdict on one intent of a batch.
 struct IntentVerdict {
   bool recorded =
-      false;  ///< Newly recorded by this batch: the request may be sent.
-  std::optional<Intent> earlier;  ///< A repeat: what is known of the first one.
+      false;  ///< Newly recorded by this batch; the request may be sent.
+  std::optional<Intent> earlier;  ///< If a repeat, the first recorded intent.
 
   bool operator==(const IntentVerdict&) const = default;
 };
@@ -145,34 +148,36 @@
 struct IntentBatchAnswer {
   std::uint64_t batch = 0;
   std::vector<IntentVerdict>
-      verdicts;  ///< Empty: not recorded, the store did not confirm.
+      verdicts;  ///< In the order of the batch; empty if the store did not
+                 ///< confirm the write.
 
   bool operator==(const IntentBatchAnswer&) const = default;
 };
 
-/// Front to its zone's ledger writer: how recorded intents ended. Answered by
-/// an IntentBatchAnswer without verdicts.
+/// Sent by a front to its zone's ledger writer: outcomes of recorded intents.
+/// Answered by an IntentBatchAnswer without verdicts.
 struct IntentOutcomes {
   DaemonName daemon;
   std::vector<Intent> intents;
   Endpoint address;
   std::uint64_t batch = 0;
-  ZoneName zone;  ///< Whose ledger is meant.
+  ZoneName zone;  ///< Zone of the ledger.
 
   bool operator==(const IntentOutcomes&) const = default;
 };
 
-/// A request was in flight when a server's connections died.
+/// Reports a request that was in flight when a server's connections were lost.
 struct StrikeReport {
   DaemonName daemon;
   QuarantineEntry entry;
-  std::uint64_t event = 0;  ///< Makes repeats of this message count once.
-  ZoneName zone;            ///< Of the daemon; whose list is meant.
+  std::uint64_t event = 0;  ///< Identifies the report, so that duplicates count
+                            ///< once.
+  ZoneName zone;            ///< Zone of the daemon and of the quarantine list.
 
   bool operator==(const StrikeReport&) const = default;
 };
 
-/// An operator's command passed to the daemon that can answer it.
+/// An operator's command, forwarded to the daemon that can answer it.
 struct CommandCall {
   std::uint64_t call = 0;
   DaemonName from;
--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -15,19 +15,19 @@
 #include "eelgrasspin/outcome.h"
 #include "eelgrasspin/units.h"
 
-/// The values this system keeps in the object store. Keys are built by the
-/// functions at the end.
+/// Values kept in the object store, and functions that build their keys.
 namespace eelgrasspin {
 
-/// "live/zone/<zone>/lease": who coordinates a zone. The holder counts the term
-/// from before it sent the write.
+/// "live/zone/<zone>/lease": the coordinator of a zone. The holder counts the
+/// lease term from before it sent the write.
 struct CoordinatorLease {
   ZoneName zone;
   DaemonName holder;
   Endpoint address;  ///< The holder's port for other daemons.
   TermEpoch epoch;
-  std::uint64_t sequence = 0;  ///< Up by one with each renewal.
-  bool released = false;  ///< Given up by its holder; may be taken at once.
+  std::uint64_t sequence = 0;  ///< Increases by one with each renewal.
+  bool released = false;       ///< Released by its holder; may be claimed at
+                               ///< once.
 
   bool operator==(const CoordinatorLease&) const = default;
 };
@@ -36,8 +36,8 @@
   DaemonName daemon;
   Endpoint address;
   Incarnation incarnation;
-  /// It has shown that it knows a roster on which it is not alone, so it obeys
-  /// the lone-front rule.
+  /// It has confirmed a roster with other members, so its fronts stop when they
+  /// are isolated for config::kLoneFrontAfter.
   bool acknowledged = false;
 
   bool operator==(const RosterMember&) const = default;
@@ -52,14 +52,14 @@
   bool operator==(const FrontPredecessor&) const = default;
 };
 
-/// Which daemon is the front of a backend server.
+/// The daemon that is the front of a backend server.
 struct FrontAssignment {
   DaemonName daemon;
   Endpoint address;
   Incarnation incarnation;
   FrontEpoch epoch;
   /// The earlier front is not yet known to have stopped; the new one must not
-  /// send to a server that does not check.
+  /// send to a server that does not check grants.
   bool awaiting_predecessor = false;
   std::vector<FrontPredecessor> predecessors;
 
@@ -68,14 +68,15 @@
 
 enum class ServerStatus : std::uint8_t { kActive, kDraining, kDrained, kLost };
 
-/// "live/zone/<zone>/roster": members and fronts of a zone; written by its
-/// coordinator only.
+/// "live/zone/<zone>/roster": members and fronts of a zone; written only by its
+/// coordinator.
 struct ZoneRoster {
   ZoneName zone;
   TermEpoch coordinator_epoch;
-  std::uint64_t write_id = 0;  ///< Of the last write; settles a lost answer.
+  std::uint64_t write_id = 0;  ///< Of the last write; shows whether a write
+                               ///< with a lost answer took effect.
   std::vector<RosterMember> members;
-  /// Removed for silence and not known to have stopped.
+  /// Removed after missed heartbeats and not known to have stopped.
   std::vector<RosterMember> lost;
   std::map<ServerName, FrontAssignment> fronts;
   std::map<ServerName, ServerStatus>
@@ -85,14 +86,14 @@
   bool operator==(const ZoneRoster&) const = default;
 };
 
-/// "live/service/<service>/zones": the zone that decides on each slot.
+/// "live/service/<service>/zones": the zone responsible for each slot.
 struct ZoneMap {
   ServiceName service;
   std::uint64_t write_id = 0;
-  std::vector<ZoneName> zones;       ///< Index space of `slots`.
-  std::vector<std::uint16_t> slots;  ///< Slot -> index into `zones`.
+  std::vector<ZoneName> zones;       ///< Zones that `slots` refers to.
+  std::vector<std::uint16_t> slots;  ///< Index into `zones`, by slot.
   std::vector<std::uint64_t>
-      epochs;  ///< Slot -> zone epoch; up by one at each change of zone.
+      epochs;  ///< Zone epoch by slot; increases by one with each change.
 
   bool operator==(const ZoneMap&) const = default;
 };
@@ -100,10 +101,10 @@
 enum class SlotPhase : std::uint8_t {
   kOwned,       ///< `owner` may be granted `epoch`.
   kMoving,      ///< `owner` is being revoked; `target` gets `epoch` next.
-  kUnassigned,  ///< No owner, waiting for a usable server.
-  kReleasing,   ///< `owner` is being revoked; the slot goes to `target_zone`.
-  kHandedOver,  ///< No owner here any more; `target_zone` may take it.
-  kClosed,      ///< The service is closed; no owner, for good.
+  kUnassigned,  ///< No owner; waiting for a usable server.
+  kReleasing,   ///< `owner` is being revoked; the slot moves to `target_zone`.
+  kHandedOver,  ///< No owner in this zone; `target_zone` may take the slot.
+  kClosed,      ///< The service is closed; permanently without owner.
 };
 
 /// Ownership of one slot, or of one key carved out of its slot.
@@ -118,21 +119,22 @@
 };
 
 /// "live/own/<service>/<zone>": owners of the service's slots in one zone;
-/// written by that zone's coordinator only.
+/// written only by that zone's coordinator.
 struct OwnershipMap {
   ServiceName service;
   ZoneName zone;
   TermEpoch coordinator_epoch;
   std::uint64_t write_id = 0;
   std::vector<std::uint64_t>
-      recent_write_ids;  ///< Newest last; reaches back to settle a lost answer.
+      recent_write_ids;  ///< Newest last; shows whether a write with a lost
+                         ///< answer took effect.
   std::map<SlotId, SlotRecord> slots;
   std::map<Key, SlotRecord> overrides;  ///< Keys carved out of their slots.
 
   bool operator==(const OwnershipMap&) const = default;
 };
 
-/// Outcome of an at-most-once operation as far as the ledger knows.
+/// State of an at-most-once operation according to the ledger.
 enum class IntentState : std::uint8_t {
   kIntended,
   kAnswered,
@@ -144,19 +146,18 @@
   ServiceName service;
   SlotId slot;
   std::string idempotency_key;
-  std::uint64_t fingerprint =
-      0;  ///< Of operation, key and body; a repeat with another one is refused.
+  std::uint64_t fingerprint = 0;  ///< Hash of operation, key and body; a repeat
+                                  ///< with a different one is refused.
   IntentState state = IntentState::kIntended;
-  std::uint16_t status = 0;  ///< HTTP status of the answer, when answered.
+  std::uint16_t status = 0;  ///< HTTP status of the answer, if answered.
   WallTime recorded;
-  std::uint64_t ticket = 0;  ///< Of the request that recorded it; no two share
-                             ///< one.
+  std::uint64_t ticket = 0;  ///< Unique id of the request that recorded it.
 
   bool operator==(const Intent&) const = default;
 };
 
-/// "kept/intent/<zone>/<number>": a segment of a zone's ledger of intents;
-/// sealed when full, deleted after retention.
+/// "kept/intent/<zone>/<number>": a segment of a zone's intent ledger; sealed
+/// when full, deleted after the retention period.
 struct IntentSegment {
   ZoneName zone;
   std::uint64_t number = 0;
@@ -179,13 +180,14 @@
   bool operator==(const QuarantineEntry&) const = default;
 };
 
-/// "live/quarantine/<zone>": requests under suspicion of crashing backend
-/// servers, as one zone saw them.
+/// "live/quarantine/<zone>": requests suspected of crashing backend servers, as
+/// observed in one zone.
 struct QuarantineList {
   ZoneName zone;
   std::uint64_t write_id = 0;
   std::vector<QuarantineEntry> entries;
-  std::vector<std::uint64_t> released;  ///< By an operator.
+  std::vector<std::uint64_t>
+      released;  ///< Fingerprints that an operator has released.
 
   bool operator==(const QuarantineList&) const = default;
 };
@@ -211,19 +213,19 @@
   bool operator==(const RefusalSample&) const = default;
 };
 
-/// One daemon's account of one service.
+/// Request counts and refusal samples of one service on one daemon.
 struct DaemonAccount {
   DaemonName daemon;
   Incarnation incarnation;
   WallTime as_of;
   OutcomeCounts counts;
-  std::vector<RefusalSample> samples;  ///< The latest few.
+  std::vector<RefusalSample> samples;  ///< The most recent ones.
 
   bool operator==(const DaemonAccount&) const = default;
 };
 
-/// "kept/account/<service>/<zone>": accounts of a zone's daemons, kept by its
-/// coordinator.
+/// "kept/account/<service>/<zone>": accounts of a zone's daemons, written by
+/// its coordinator.
 struct ZoneAccount {
   ServiceName service;
   ZoneName zone;
@@ -242,7 +244,8 @@
   kCancelled,
 };
 
-/// Ownership of a range of slots during a span of time, for the report.
+/// Ownership of a range of slots, or of a carved-out key, during a period; for
+/// the closure report.
 struct OwnershipSpan {
   SlotId first_slot;
   SlotId last_slot;
@@ -255,21 +258,21 @@
   bool operator==(const OwnershipSpan&) const = default;
 };
 
-/// "kept/history/<service>/<zone>": ownership of slots over time, kept by the
-/// zone's coordinator.
+/// "kept/history/<service>/<zone>": ownership of slots over time, written by
+/// the zone's coordinator.
 struct OwnershipHistory {
   ServiceName service;
   ZoneName zone;
   std::uint64_t write_id = 0;
   std::uint64_t dropped_spans =
-      0;  ///< Oldest spans left out to stay below the value limit.
+      0;  ///< Number of oldest spans dropped to stay within the value limit.
   std::vector<OwnershipSpan> spans;
 
   bool operator==(const OwnershipHistory&) const = default;
 };
 
-/// "kept/closure-part/<service>/<zone>": what one zone has done of a closure,
-/// with its part of the report.
+/// "kept/closure-part/<service>/<zone>": progress of a closure in one zone, and
+/// that zone's part of the report.
 struct ClosurePart {
   ServiceName service;
   ZoneName zone;
@@ -279,7 +282,7 @@
   WallTime reached;
   std::map<ClosureStep, std::uint64_t>
       in_flight_at;  ///< Requests in flight when each step was reached.
-  std::uint64_t slots_owned = 0;  ///< Slots that still have an owner.
+  std::uint64_t slots_owned = 0;  ///< Number of units that still have an owner.
   std::vector<DaemonName>
       not_reported;  ///< Daemons whose account is older than the step.
   std::vector<DaemonAccount> accounts;
@@ -288,7 +291,7 @@
   bool operator==(const ClosurePart&) const = default;
 };
 
-/// "live/closure/<service>": the order to close a service and how far it is.
+/// "live/closure/<service>": the order to close a service, and its progress.
 struct Closure {
   ServiceName service;
   std::string id;
@@ -299,12 +302,12 @@
   ClosureStep step = ClosureStep::kAnnounced;
   std::uint64_t write_id = 0;
   std::map<ZoneName, ClosureStep>
-      zones;  ///< As last seen when the step was written.
-  std::vector<ZoneName>
-      not_reported;  ///< Zones that had not answered at the deadline.
+      zones;  ///< Step of each zone when `step` was written.
+  std::vector<ZoneName> not_heard;  ///< Zones skipped because they did not
+                                    ///< answer by the deadline.
   std::map<std::string, std::string>
-      part_hashes;   ///< Sealed: part name -> XXH3 128-bit hash, hex.
-  std::string seal;  ///< Sealed: hash over the whole report.
+      part_hashes;   ///< Once sealed: XXH3 128-bit hash in hex, by part name.
+  std::string seal;  ///< Once sealed: hash of the whole report.
   WallTime sealed_at;
 
   bool operator==(const Closure&) const = default;
@@ -318,15 +321,15 @@
   kLostToConflict
 };
 
-/// "live/command/<id>": an operator's order and what became of it.
+/// "live/command/<id>": an operator's order, its state and its result.
 struct CommandRecord {
   CommandId id;
   OperatorName ordered_by;
   WallTime ordered;
-  std::string text;  ///< As the operator wrote it.
-  Command command;   ///< Parsed.
-  Version base;  ///< Version of the object that the operator saw; 0 if none was
-                 ///< named.
+  std::string text;  ///< As entered by the operator.
+  Command command;   ///< Parsed form of `text`.
+  Version base;      ///< Version of the object on which the operator based the
+                     ///< order; 0 if none was given.
   CommandState state = CommandState::kPending;
   std::string result;  ///< Why it was refused, or which command won.
   WallTime finished;
@@ -335,7 +338,7 @@
   bool operator==(const CommandRecord&) const = default;
 };
 
-/// "live/drain/<server>": order to take a server out of service.
+/// "live/drain/<server>": an order to take a server out of service.
 struct DrainPlan {
   std::string id;
   ServerName server;
@@ -348,14 +351,15 @@
   bool operator==(const DrainPlan&) const = default;
 };
 
-/// A value that this version cannot read. The last readable one stays in force.
+/// A value that this version cannot read. The last readable value remains in
+/// force.
 struct DamagedRecord {
   std::string reason;
 
   bool operator==(const DamagedRecord&) const = default;
 };
 
-/// "live/declarations": what the operators declared, as accepted.
+/// "live/declarations": the accepted declarations of the operators.
 struct DeclarationsRecord {
   Declarations declarations;
   OperatorName applied_by;
@@ -374,8 +378,8 @@
                  IntentSegment, QuarantineList, ZoneAccount, OwnershipHistory,
                  ClosurePart, Closure, CommandRecord, DrainPlan>;
 
-/// One value of the store. `version` 0 and a monostate record mean that the key
-/// is absent.
+/// A key of the store with its value. `version` 0 and a monostate record mean
+/// that the key is absent.
 struct StoreEntry {
   StoreKey key;
   Version version;
@@ -384,8 +388,9 @@
 
 bool operator==(const StoreEntry& left, const StoreEntry& right);
 
-/// Keys below "live/" are kept in every daemon's cache; those below "kept/" are
-/// read when needed.
+// Values below "live/" are cached by every daemon; those below "kept/" are read
+// when needed.
+
 StoreKey live_prefix();
 StoreKey declarations_key();
 StoreKey coordinator_lease_key(const ZoneName& zone);
--- a/include/eelgrasspin/reply_sender.h
+++ b/include/eelgrasspin/reply_sender.h
@@ -8,7 +8,7 @@
 
 namespace eelgrasspin {
 
-/// Takes the one end of a request back to whoever sent it: a caller, or the
+/// Sends the final result of a request to its sender, which is a caller or the
 /// daemon that forwarded it.
 class ReplySender {
  public:
--- a/include/eelgrasspin/request.h
+++ b/include/eelgrasspin/request.h
@@ -12,7 +12,7 @@
 
 namespace eelgrasspin {
 
-/// A request without its body. The body stays with the caller side, under the
+/// A request without its body, which the receiving front end keeps under the
 /// request's id.
 struct RequestHead {
   ServiceName service;
@@ -23,42 +23,44 @@
   std::optional<Duration> time_left;  ///< From the caller's deadline header.
   std::uint64_t body_bytes = 0;
   std::uint64_t body_hash = 0;
-  std::uint32_t hops = 0;  ///< Daemons it has passed.
+  std::uint32_t hops = 0;  ///< Daemons that have forwarded it.
 };
 
-/// Where a forwarding daemon believed the key's owner to be.
+/// The owner of the key according to the forwarding daemon.
 struct ForwardedFrom {
   DaemonName daemon;
   ServerName server;
   SlotId slot;
-  Epoch epoch;  ///< Of the slot; 0 if the map was not known.
+  Epoch epoch;  ///< Of the slot; 0 if the daemon had no ownership map.
 };
 
 struct FromCaller {};
 using RequestOrigin = std::variant<FromCaller, ForwardedFrom>;
 
-/// How one attempt to have a request run ended.
+// Results of one attempt to run a request on a backend server.
+
+/// The complete answer was received.
 struct AttemptAnswered {
-  std::uint16_t status =
-      200;  ///< HTTP status of the whole answer, held under the attempt's id.
+  std::uint16_t status = 200;  ///< HTTP status of the answer, which is kept
+                               ///< under the attempt's id.
   std::uint64_t bytes = 0;
 };
 
-/// Provably not run.
+/// The request has certainly not run.
 struct AttemptNotRun {
   Reason reason = Reason::kNone;
   Duration retry_after{0};
-  Epoch newer_epoch;  ///< The refusing daemon knows an epoch at least this high
-                      ///< for the slot.
+  Epoch newer_epoch;  ///< Lower bound of the slot's epoch, as known to the
+                      ///< refusing daemon.
   std::uint16_t earlier_status =
       0;  ///< With kRepeatAnswered: HTTP status of the recorded answer.
 };
 
-/// Sent, and no whole answer was seen.
+/// The request was sent, but no complete answer was received.
 struct AttemptUnknown {
   Reason reason = Reason::kNone;
-  bool connection_closed =
-      false;  ///< The server closed or reset the connection while it worked.
+  bool connection_died =
+      false;  ///< The server closed or reset the connection before it answered.
 };
 
 using AttemptResult =
--- a/include/eelgrasspin/result.h
+++ b/include/eelgrasspin/result.h
@@ -9,11 +9,11 @@
 namespace eelgrasspin {
 
 enum class ErrorCode {
-  kInvalid,      ///< The input is wrong; the same input fails again.
-  kNotFound,     ///< The named thing does not exist.
-  kConflict,     ///< Another writer came first.
+  kInvalid,      ///< Invalid input; a retry with the same input fails again.
+  kNotFound,     ///< The named object does not exist.
+  kConflict,     ///< A concurrent write took precedence.
   kUnavailable,  ///< No answer; the operation may or may not have taken effect.
-  kRefused,      ///< Provably not done.
+  kRefused,      ///< The operation has certainly not been performed.
 };
 
 struct Error {
@@ -21,7 +21,7 @@
   std::string message;
 };
 
-/// A value or an error. No exception crosses a module's border.
+/// A value or an error. Exceptions do not cross module boundaries.
 template <class T>
 using Result = std::variant<T, Error>;
 
@@ -45,23 +45,23 @@
   return std::get<Error>(result);
 }
 
-/// Something wrong in an input, with its place.
+/// A problem found in an input, with its location.
 struct Finding {
   std::string file;
-  int line = 0;    ///< From 1; 0 means the whole file.
-  int column = 0;  ///< From 1; 0 means the whole line.
+  int line = 0;    ///< 1-based; 0 means the whole file.
+  int column = 0;  ///< 1-based; 0 means the whole line.
   std::string message;
-  std::string hint;  ///< What would be accepted; may be empty.
+  std::string hint;  ///< What would be valid instead; may be empty.
 };
 
 /// "file:line:column: message (hint)".
 std::string to_string(const Finding& finding);
 
-/// A checked value, or every finding of the check together.
+/// A valid value, or all findings of its check.
 template <class T>
 using Checked = std::variant<T, std::vector<Finding>>;
 
-/// Builds one visitor from several lambdas.
+/// Combines several lambdas into one visitor for std::visit.
 template <class... Ts>
 struct Overloaded : Ts... {
   using Ts::operator()...;
--- a/include/eelgrasspin/timeline.h
+++ b/include/eelgrasspin/timeline.h
@@ -51,10 +51,10 @@
 
 std::string_view to_string(TimelineKind kind);
 
-/// One event on a daemon's time line. Fields that do not apply are empty.
+/// One event on a daemon's timeline. Fields that do not apply are empty.
 struct TimelineEvent {
   WallTime when;
-  std::uint64_t sequence = 0;  ///< Of this daemon's run.
+  std::uint64_t sequence = 0;  ///< Unique within one run of the daemon.
   DaemonName daemon;
   ZoneName zone;
   TimelineKind kind = TimelineKind::kDaemonStarted;
@@ -62,9 +62,9 @@
   ServerName server;
   std::optional<SlotId> slot;
   std::uint64_t epoch = 0;
-  Version revision;   ///< Store revision known then; orders events of different
-                      ///< daemons.
-  std::string cause;  ///< Command id, lost member, lapse ...
+  Version revision;   ///< Store revision known to the daemon at that time;
+                      ///< orders events of different daemons.
+  std::string cause;  ///< Such as a command id or a lost member.
   std::string detail;
 };
 
--- a/include/eelgrasspin/transport.h
+++ b/include/eelgrasspin/transport.h
@@ -12,34 +12,33 @@
 
 namespace eelgrasspin {
 
-/// A body and the header fields that travel with it.
+/// A body and the header fields that are forwarded with it.
 struct Payload {
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
 };
 
-/// What came back for an attempt. `payload` is set when the result is
-/// AttemptAnswered.
+/// Result of an attempt. `payload` is set if `result` is AttemptAnswered.
 struct AttemptReply {
   AttemptResult result;
   std::shared_ptr<const Payload> payload;
 };
 
-/// A request on its way to another daemon or to a backend server.
+/// A request to be sent to another daemon or to a backend server.
 struct OutboundRequest {
   RequestHead head;
   ServerName server;
   SlotId slot;
   Key key;
   Epoch epoch;
-  FrontEpoch front_epoch;  ///< Set towards backend servers.
+  FrontEpoch front_epoch;  ///< Set for backend servers only.
   Duration time_left{0};
-  bool repeatable = false;  ///< False: only on a connection just shown to be
-                            ///< alive, and sent at most once.
+  bool repeatable = false;  ///< If false, it is sent at most once, and only on
+                            ///< a connection that was alive just before.
   std::shared_ptr<const Payload> payload;
 };
 
-/// Carries messages and requests between daemons.
+/// Sends messages and requests to other daemons.
 class Transport {
  public:
   using AttemptCallback = std::function<void(AttemptReply)>;
@@ -47,11 +46,11 @@
   virtual ~Transport() = default;
   /// Best effort; a message that cannot be delivered is dropped.
   virtual void send(const Endpoint& to, const PeerMessage& message) = 0;
-  /// Answers exactly once, unless cancelled.
+  /// Calls `done` exactly once, unless cancelled.
   virtual void forward(AttemptId attempt, const Endpoint& to,
                        const OutboundRequest& request,
                        AttemptCallback done) = 0;
-  /// Gives up on an attempt; its callback is not called any more.
+  /// Abandons an attempt; its callback is no longer called.
   virtual void cancel(AttemptId attempt) = 0;
 };
 
@@ -61,12 +60,12 @@
   using AttemptCallback = std::function<void(AttemptReply)>;
 
   virtual ~BackendCalls() = default;
-  /// Answers exactly once, unless cancelled. Attention: AttemptNotRun only with
-  /// proof.
+  /// Calls `done` exactly once, unless cancelled. Yields AttemptNotRun only if
+  /// the request has certainly not run.
   virtual void run(AttemptId attempt, const Endpoint& server,
                    const OutboundRequest& request, AttemptCallback done) = 0;
-  /// Gives up on an attempt and tells the server; its callback is not called
-  /// any more.
+  /// Abandons an attempt and notifies the server; its callback is no longer
+  /// called.
   virtual void cancel(AttemptId attempt) = 0;
 };
 
--- a/include/eelgrasspin/units.h
+++ b/include/eelgrasspin/units.h
@@ -6,29 +6,29 @@
 
 namespace eelgrasspin {
 
-/// Every span of time in the project, in microseconds.
+/// Type of every time span in the project; microseconds.
 using Duration = std::chrono::microseconds;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// Tag of the monotonic time line of one process.
-struct MonotonicTimeline {
+/// Clock type that tags the monotonic time of one process.
+struct MonotonicClock {
   using rep = Duration::rep;
   using period = Duration::period;
   using duration = Duration;
-  using time_point = std::chrono::time_point<MonotonicTimeline>;
+  using time_point = std::chrono::time_point<MonotonicClock>;
   static constexpr bool is_steady = true;
 };
 
-/// Monotonic time of one process; never compared between processes.
-using TimePoint = std::chrono::time_point<MonotonicTimeline, Duration>;
-/// Wall-clock time since the Unix epoch; only for people and reports, never for
-/// decisions on ownership.
+/// Monotonic time; only comparable within one process.
+using TimePoint = std::chrono::time_point<MonotonicClock, Duration>;
+/// Wall-clock time since the Unix epoch; for display and reports only, never
+/// for decisions on ownership.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/// The present time, handed to every function that decides.
+/// The current time, passed to every function whose decisions depend on it.
 struct Now {
   TimePoint mono;
   WallTime wall;
--- a/include/eelgrasspin/vm_list.h
+++ b/include/eelgrasspin/vm_list.h
@@ -12,9 +12,9 @@
 
 enum class VmState : std::uint8_t { kLive, kLeaving, kGone };
 
-/// A VM of the platform, by the name of the daemon or backend server that runs
-/// on it. The list lags: presence proves nothing; kGone says that the VM was
-/// ended for good.
+/// A VM of the platform, under the name of the daemon or backend server that
+/// runs on it. The list lags: a listed VM may be gone already, but kGone means
+/// that the VM has ended for good.
 struct VmEntry {
   std::string name;
   VmState state = VmState::kLive;
