--- a/src/codec/command_fields_p.h
+++ b/src/codec/command_fields_p.h
@@ -4,19 +4,19 @@
 #include "codec/json_p.h"
 #include "eelgrasspin/command.h"
 
-/// Private to src/codec: fields of commands and of their answers.
+/// Private to src/codec: fields of commands and their answers.
 namespace eelgrasspin::codec {
 
 template <>
-struct LastOf<Subject> {
+struct LastEnumerator<Subject> {
   static constexpr auto kValue = Subject::kStore;
 };
 template <>
-struct LastOf<Comparison> {
+struct LastEnumerator<Comparison> {
   static constexpr auto kValue = Comparison::kGreaterOrEqual;
 };
 template <>
-struct LastOf<ErrorCode> {
+struct LastEnumerator<ErrorCode> {
   static constexpr auto kValue = ErrorCode::kRefused;
 };
 
@@ -70,14 +70,14 @@
 };
 
 template <class A>
-void fields(A& a, Like<A, Condition>& v) {
+void fields(A& a, ConstIfWriting<A, Condition>& v) {
   a("column", v.column);
   a("comparison", v.comparison);
   a("value", v.value);
 }
 
 template <class A>
-void fields(A& a, Like<A, ShowCommand>& v) {
+void fields(A& a, ConstIfWriting<A, ShowCommand>& v) {
   a("subject", v.subject);
   a("conditions", v.conditions);
   a("since", v.since);
@@ -85,13 +85,13 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, OwnerCommand>& v) {
+void fields(A& a, ConstIfWriting<A, OwnerCommand>& v) {
   a("service", v.service);
   a("key", v.key);
 }
 
 template <class A>
-void fields(A& a, Like<A, MoveCommand>& v) {
+void fields(A& a, ConstIfWriting<A, MoveCommand>& v) {
   a("service", v.service);
   a("slot", v.slot);
   a("key", v.key);
@@ -100,74 +100,74 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, DrainCommand>& v) {
+void fields(A& a, ConstIfWriting<A, DrainCommand>& v) {
   a("server", v.server);
   a("within", v.within);
 }
 
 template <class A>
-void fields(A& a, Like<A, UndrainCommand>& v) {
+void fields(A& a, ConstIfWriting<A, UndrainCommand>& v) {
   a("server", v.server);
 }
 
 template <class A>
-void fields(A& a, Like<A, CloseCommand>& v) {
+void fields(A& a, ConstIfWriting<A, CloseCommand>& v) {
   a("service", v.service);
   a("deadline", v.deadline);
   a("reason", v.reason);
 }
 
 template <class A>
-void fields(A& a, Like<A, CancelClosureCommand>& v) {
+void fields(A& a, ConstIfWriting<A, CancelClosureCommand>& v) {
   a("service", v.service);
 }
 
 template <class A>
-void fields(A& a, Like<A, ShowClosureCommand>& v) {
+void fields(A& a, ConstIfWriting<A, ShowClosureCommand>& v) {
   a("service", v.service);
 }
 
 template <class A>
-void fields(A& a, Like<A, ReportCommand>& v) {
+void fields(A& a, ConstIfWriting<A, ReportCommand>& v) {
   a("service", v.service);
 }
 
 template <class A>
-void fields(A& a, Like<A, StopDaemonCommand>& v) {
+void fields(A& a, ConstIfWriting<A, StopDaemonCommand>& v) {
   a("daemon", v.daemon);
 }
 
 template <class A>
-void fields(A& a, Like<A, FenceCommand>& v) {
+void fields(A& a, ConstIfWriting<A, FenceCommand>& v) {
   a("zone", v.zone);
   a("daemon", v.daemon);
 }
 
 template <class A>
-void fields(A& a, Like<A, ReleaseCommand>& v) {
+void fields(A& a, ConstIfWriting<A, ReleaseCommand>& v) {
   a("fingerprint", v.fingerprint);
 }
 
 template <class A>
-void fields(A& a, Like<A, Error>& v) {
+void fields(A& a, ConstIfWriting<A, Error>& v) {
   a("code", v.code);
   a("message", v.message);
 }
 
 template <class A>
-void fields(A& a, Like<A, Table>& v) {
+void fields(A& a, ConstIfWriting<A, Table>& v) {
   a("columns", v.columns);
   a("rows", v.rows);
 }
 
 template <class A>
-void fields(A& a, Like<A, Section>& v) {
+void fields(A& a, ConstIfWriting<A, Section>& v) {
   a("title", v.title);
   a("table", v.table);
 }
 
 template <class A>
-void fields(A& a, Like<A, CommandAnswer>& v) {
+void fields(A& a, ConstIfWriting<A, CommandAnswer>& v) {
   a("error", v.error);
   a("message", v.message);
   a("command", v.command);
--- a/src/codec/compact_map.cc
+++ b/src/codec/compact_map.cc
@@ -8,19 +8,21 @@
 
 using Column = std::vector<std::uint64_t>;
 
-/// A column of numbers: each item is a number, or [number, count] for a run.
-struct Runs {
+/// A run-length encoded column: each item is a number, or [number, count] for a
+/// run of equal numbers.
+struct RunLengthColumn {
   Column values;
 };
 
-/// Differences to the number before, to keep the digits few; the first is to 0.
-Column to_differences(const Column& rising) {
+/// Delta encoding, which keeps the numbers short; the first number is kept as
+/// it is.
+Column to_differences(const Column& sequence) {
   Column differences;
-  differences.reserve(rising.size());
-  std::uint64_t before = 0;
-  for (std::uint64_t value : rising) {
-    differences.push_back(value - before);
-    before = value;
+  differences.reserve(sequence.size());
+  std::uint64_t previous = 0;
+  for (std::uint64_t value : sequence) {
+    differences.push_back(value - previous);
+    previous = value;
   }
   return differences;
 }
@@ -36,17 +38,18 @@
   return values;
 }
 
-/// One combination of owner, phase and target; many slots share each.
-struct Holding {
+/// Combination of owner, phase and target, shared by many slots. Owner and
+/// targets are indexes into the server and zone tables.
+struct Assignment {
   std::uint64_t owner = 0;
   SlotPhase phase = SlotPhase::kUnassigned;
   std::uint64_t target = 0;
   std::uint64_t target_zone = 0;
 
-  auto operator<=>(const Holding&) const = default;
+  auto operator<=>(const Assignment&) const = default;
 };
 
-/// Gives each distinct value an index, in order of first use.
+/// Assigns an index to each distinct value, in order of first use.
 template <class T>
 class IndexTable {
  public:
@@ -63,17 +66,17 @@
 };
 
 template <class T>
-const T* at(const std::vector<T>& table, std::uint64_t index) {
+const T* element_or_null(const std::vector<T>& table, std::uint64_t index) {
   return index < table.size() ? &table[index] : nullptr;
 }
 
 }  // namespace
 
 template <>
-inline constexpr bool kAsRow<Holding> = true;
+inline constexpr bool kWrittenAsArray<Assignment> = true;
 
 template <class A>
-void fields(A& a, Like<A, Holding>& v) {
+void fields(A& a, ConstIfWriting<A, Assignment>& v) {
   a("owner", v.owner);
   a("phase", v.phase);
   a("target", v.target);
@@ -81,8 +84,8 @@
 }
 
 template <>
-struct Json<Runs> {
-  static json::value put(const Runs& runs) {
+struct Json<RunLengthColumn> {
+  static json::value encode(const RunLengthColumn& runs) {
     json::array array;
     const Column& values = runs.values;
     for (std::size_t i = 0; i < values.size();) {
@@ -98,7 +101,8 @@
     return array;
   }
 
-  static void take(const json::value& value, Runs& out, Failure& failure) {
+  static void decode(const json::value& value, RunLengthColumn& out,
+                     Failure& failure) {
     const json::array* array = value.if_array();
     if (array == nullptr) return failure.set("not an array");
     for (const json::value& item : *array) {
@@ -119,60 +123,66 @@
 
 namespace {
 
-/// Columns of an OwnershipMap's slots.
+/// Column form of an OwnershipMap's slots: `slots` is delta-encoded, and
+/// `epochs` are relative to `least_epoch`.
 struct SlotColumns {
   std::vector<ServerName> servers;
   std::vector<ZoneName> zones;
-  std::vector<Holding> holdings;
+  std::vector<Assignment> assignments;
   std::uint64_t least_epoch = 0;
-  Runs slots;
-  Runs holding_of;
-  Runs epochs;
+  RunLengthColumn slots;
+  RunLengthColumn assignment_indexes;
+  RunLengthColumn epochs;
 };
 
 SlotColumns to_columns(const std::map<SlotId, SlotRecord>& slots) {
   SlotColumns columns;
   IndexTable<ServerName> servers;
   IndexTable<ZoneName> zones;
-  IndexTable<Holding> holdings;
+  IndexTable<Assignment> assignments;
   if (!slots.empty()) columns.least_epoch = slots.begin()->second.epoch.value;
   for (const auto& [slot, record] : slots) {
     columns.least_epoch = std::min(columns.least_epoch, record.epoch.value);
   }
   Column ids;
   for (const auto& [slot, record] : slots) {
-    Holding holding{servers.index_of(record.owner), record.phase,
-                    servers.index_of(record.target),
-                    zones.index_of(record.target_zone)};
+    Assignment assignment{servers.index_of(record.owner), record.phase,
+                          servers.index_of(record.target),
+                          zones.index_of(record.target_zone)};
     ids.push_back(slot.value);
-    columns.holding_of.values.push_back(holdings.index_of(holding));
+    columns.assignment_indexes.values.push_back(
+        assignments.index_of(assignment));
     columns.epochs.values.push_back(record.epoch.value - columns.least_epoch);
   }
   columns.slots.values = to_differences(ids);
   columns.servers = servers.values();
   columns.zones = zones.values();
-  columns.holdings = holdings.values();
+  columns.assignments = assignments.values();
   return columns;
 }
 
 bool from_columns(const SlotColumns& columns,
                   std::map<SlotId, SlotRecord>& slots) {
   Column ids = from_differences(columns.slots.values);
-  if (columns.holding_of.values.size() != ids.size()) return false;
+  if (columns.assignment_indexes.values.size() != ids.size()) return false;
   if (columns.epochs.values.size() != ids.size()) return false;
   for (std::size_t i = 0; i < ids.size(); ++i) {
     if (ids[i] >= config::kMaxKeySlots) return false;
-    const Holding* holding = at(columns.holdings, columns.holding_of.values[i]);
-    if (holding == nullptr) return false;
-    const ServerName* owner = at(columns.servers, holding->owner);
-    const ServerName* target = at(columns.servers, holding->target);
-    const ZoneName* zone = at(columns.zones, holding->target_zone);
+    const Assignment* assignment = element_or_null(
+        columns.assignments, columns.assignment_indexes.values[i]);
+    if (assignment == nullptr) return false;
+    const ServerName* owner =
+        element_or_null(columns.servers, assignment->owner);
+    const ServerName* target =
+        element_or_null(columns.servers, assignment->target);
+    const ZoneName* zone =
+        element_or_null(columns.zones, assignment->target_zone);
     if (owner == nullptr || target == nullptr || zone == nullptr) return false;
     Epoch epoch(columns.least_epoch + columns.epochs.values[i]);
     SlotId slot(static_cast<std::uint32_t>(ids[i]));
     slots.emplace_hint(
         slots.end(), slot,
-        SlotRecord{*owner, epoch, holding->phase, *target, *zone});
+        SlotRecord{*owner, epoch, assignment->phase, *target, *zone});
   }
   return slots.size() == ids.size();
 }
@@ -180,20 +190,20 @@
 }  // namespace
 
 template <class A>
-void fields(A& a, Like<A, SlotColumns>& v) {
+void fields(A& a, ConstIfWriting<A, SlotColumns>& v) {
   a("servers", v.servers);
   a("zones", v.zones);
-  a("holdings", v.holdings);
+  a("holdings", v.assignments);
   a("least_epoch", v.least_epoch);
   a("slots", v.slots);
-  a("holding_of", v.holding_of);
+  a("holding_of", v.assignment_indexes);
   a("epochs", v.epochs);
 }
 
 namespace {
 
 template <class A>
-void heading(A& a, Like<A, OwnershipMap>& v) {
+void header_fields(A& a, ConstIfWriting<A, OwnershipMap>& v) {
   a("service", v.service);
   a("zone", v.zone);
   a("coordinator_epoch", v.coordinator_epoch);
@@ -203,53 +213,54 @@
 }
 
 template <class A>
-void heading(A& a, Like<A, ZoneMap>& v) {
+void header_fields(A& a, ConstIfWriting<A, ZoneMap>& v) {
   a("service", v.service);
   a("write_id", v.write_id);
   a("zones", v.zones);
 }
 
-/// Reports columns that do not fit together.
-struct Unfitting {};
+/// Reports columns that are inconsistent with each other: reading a field as
+/// this type always fails.
+struct ColumnMismatch {};
 
 }  // namespace
 
 template <>
-struct Json<Unfitting> {
-  static void take(const json::value&, Unfitting&, Failure& failure) {
+struct Json<ColumnMismatch> {
+  static void decode(const json::value&, ColumnMismatch&, Failure& failure) {
     failure.set("columns do not fit together");
   }
 };
 
 void fields(ObjectWriter& a, const OwnershipMap& map) {
-  heading(a, map);
+  header_fields(a, map);
   a("columns", to_columns(map.slots));
 }
 
 void fields(ObjectReader& a, OwnershipMap& map) {
-  heading(a, map);
+  header_fields(a, map);
   SlotColumns columns;
   a("columns", columns);
-  Unfitting unfitting;
-  if (!from_columns(columns, map.slots)) a("columns", unfitting);
+  ColumnMismatch mismatch;
+  if (!from_columns(columns, map.slots)) a("columns", mismatch);
 }
 
 void fields(ObjectWriter& a, const ZoneMap& map) {
-  heading(a, map);
-  a("slots", Runs{Column(map.slots.begin(), map.slots.end())});
-  a("epochs", Runs{map.epochs});
+  header_fields(a, map);
+  a("slots", RunLengthColumn{Column(map.slots.begin(), map.slots.end())});
+  a("epochs", RunLengthColumn{map.epochs});
 }
 
 void fields(ObjectReader& a, ZoneMap& map) {
-  heading(a, map);
-  Runs slots;
-  Runs epochs;
+  header_fields(a, map);
+  RunLengthColumn slots;
+  RunLengthColumn epochs;
   a("slots", slots);
   a("epochs", epochs);
-  Unfitting unfitting;
+  ColumnMismatch mismatch;
   bool fits = slots.values.size() == epochs.values.size();
   for (std::uint64_t zone : slots.values) fits &= zone < map.zones.size();
-  if (!fits) a("slots", unfitting);
+  if (!fits) a("slots", mismatch);
   map.slots.assign(slots.values.begin(), slots.values.end());
   map.epochs = epochs.values;
 }
--- a/src/codec/compact_map_p.h
+++ b/src/codec/compact_map_p.h
@@ -3,7 +3,7 @@
 
 #include "codec/record_fields_p.h"
 
-/// Private to src/codec: the maps with an entry for each slot, kept in columns
+/// Private to src/codec: maps with an entry per slot, encoded column by column
 /// so that 65,536 slots fit into one store value.
 namespace eelgrasspin::codec {
 
--- a/src/codec/fleet_fields_p.h
+++ b/src/codec/fleet_fields_p.h
@@ -7,8 +7,8 @@
 
 #include "fleet/model.h"
 
-/// Reading of fields that several of the fleet's messages have. A missing field
-/// or a wrong type throws; decode functions turn that into an error.
+/// Private to src/codec: conversions shared by the fleet's messages. A missing
+/// field or a wrong type throws; the decode functions return that as an error.
 namespace eelgrasspin::codec {
 
 inline std::string_view view_of(const boost::json::value& value) {
--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -10,14 +10,16 @@
 namespace json = boost::json;
 using fleet::ShardKey;
 
-/// Boost.JSON reports a missing field or a wrong type by an exception; it ends
-/// here.
+/// Parses a JSON object and converts it with `read`. Boost.JSON throws on a
+/// missing field or a wrong type; the exception is returned as an error.
 template <class T, class Read>
-Result<T> guarded(std::string_view text, std::string_view what, Read read) {
+Result<T> parse_object(std::string_view text, std::string_view what,
+                       Read read) {
   try {
     return read(json::parse(text).as_object());
-  } catch (const std::exception& wrong) {
-    return Error{ErrorCode::kInvalid, std::string(what) + ": " + wrong.what()};
+  } catch (const std::exception& failure) {
+    return Error{ErrorCode::kInvalid,
+                 std::string(what) + ": " + failure.what()};
   }
 }
 
@@ -38,16 +40,16 @@
           capacity == nullptr ? 0 : capacity->to_number<std::uint32_t>()};
 }
 
-json::array life_array(const fleet::ServerIncarnation& life) {
-  return {life.name.str(), life.incarnation.value};
+json::array server_incarnation_array(const fleet::ServerLife& server) {
+  return {server.name.str(), server.incarnation.value};
 }
 
-fleet::ServerIncarnation life_of(const json::value& value) {
+fleet::ServerLife server_incarnation_of(const json::value& value) {
   const json::array& parts = value.as_array();
   return {ServerName(view_of(parts.at(0))), Incarnation(number(parts.at(1)))};
 }
 
-/// Hundredths are exact enough, and short.
+/// Numbers are rounded down to hundredths, which are short and precise enough.
 std::uint64_t hundredths(double number) {
   return static_cast<std::uint64_t>(number * 100);
 }
@@ -55,42 +57,41 @@
   return static_cast<double>(number(value)) / 100;
 }
 
-json::array heats_array(const fleet::Heartbeat& heartbeat) {
-  json::array key_load_reports;
-  for (const auto& heat : heartbeat.key_load_reports) {
+json::array service_reports_array(const fleet::Heartbeat& heartbeat) {
+  json::array heats;
+  for (const auto& report : heartbeat.heats) {
     json::array keys;
-    for (const fleet::KeyLoad& key : heat.keys) {
+    for (const fleet::KeyHeat& key : report.keys) {
       keys.push_back(key.key.value);
       keys.push_back(hundredths(key.weight));
     }
-    json::array service_times;
-    for (const auto& speed : heat.service_times) {
-      service_times.push_back(json::array{speed.server.str(),
-                                          hundredths(speed.answer_count),
-                                          to_ms(speed.service_time)});
+    json::array speeds;
+    for (const auto& speed : report.speeds) {
+      speeds.push_back(json::array{speed.server.str(),
+                                   hundredths(speed.answers),
+                                   to_ms(speed.service_time)});
     }
-    key_load_reports.push_back(json::array{heat.service.str(), std::move(keys),
-                                           std::move(service_times)});
+    heats.push_back(
+        json::array{report.service.str(), std::move(keys), std::move(speeds)});
   }
   return key_load_reports;
 }
 
-fleet::Heartbeat::KeyLoadReport heat_of(const json::value& value) {
+fleet::Heartbeat::Heat service_report_of(const json::value& value) {
   const json::array& parts = value.as_array();
-  fleet::Heartbeat::KeyLoadReport heat{
-      ServiceName(view_of(parts.at(0))), {}, {}};
+  fleet::Heartbeat::Heat report{ServiceName(view_of(parts.at(0))), {}, {}};
   const json::array& keys = parts.at(1).as_array();
   for (std::size_t i = 0; i + 1 < keys.size(); i += 2) {
-    heat.keys.push_back({ShardKey(keys[i].to_number<std::uint32_t>()),
-                         from_hundredths(keys[i + 1])});
+    report.keys.push_back({ShardKey(keys[i].to_number<std::uint32_t>()),
+                           from_hundredths(keys[i + 1])});
   }
   for (const json::value& speed : parts.at(2).as_array()) {
     const json::array& fields = speed.as_array();
-    heat.service_times.push_back({ServerName(view_of(fields.at(0))),
-                                  from_hundredths(fields.at(1)),
-                                  milliseconds(number(fields.at(2)))});
+    report.speeds.push_back({ServerName(view_of(fields.at(0))),
+                             from_hundredths(fields.at(1)),
+                             milliseconds(number(fields.at(2)))});
   }
-  return heat;
+  return report;
 }
 
 fleet::Heartbeat heartbeat_of(const json::object& object) {
@@ -108,8 +109,8 @@
     heartbeat.age = milliseconds(number(*age));
   }
   heartbeat.stopping = object.if_contains("stopping") != nullptr;
-  if (const json::value* silent = object.if_contains("store_silent_ms")) {
-    heartbeat.store_unreachable_for = milliseconds(number(*silent));
+  if (const json::value* silence = object.if_contains("store_silent_ms")) {
+    heartbeat.store_silence = milliseconds(number(*silence));
   }
   for (const json::value& value : object.at("terms").as_array()) {
     const json::array& parts = value.as_array();
@@ -128,16 +129,16 @@
                                             Version(number(parts.at(1))),
                                             milliseconds(number(parts.at(2)))};
   }
-  if (const json::value* key_load_reports = object.if_contains("heats")) {
-    for (const json::value& value : key_load_reports->as_array()) {
-      heartbeat.key_load_reports.push_back(heat_of(value));
+  if (const json::value* heats = object.if_contains("heats")) {
+    for (const json::value& value : heats->as_array()) {
+      heartbeat.heats.push_back(service_report_of(value));
     }
   }
   if (const json::value* strikes = object.if_contains("strikes")) {
     for (const json::value& value : strikes->as_array()) {
       const json::array& parts = value.as_array();
-      heartbeat.strikes.push_back(
-          {fleet::Fingerprint(number(parts.at(0))), life_of(parts.at(1))});
+      heartbeat.strikes.push_back({fleet::Fingerprint(number(parts.at(0))),
+                                   server_incarnation_of(parts.at(1))});
     }
   }
   return heartbeat;
@@ -147,11 +148,11 @@
   const json::array& parts = value.as_array();
   fleet::KeyRange range{ShardKey(parts.at(0).to_number<std::uint32_t>()),
                         ShardKey(parts.at(1).to_number<std::uint32_t>()),
-                        life_of(parts.at(2)),
+                        server_incarnation_of(parts.at(2)),
                         Epoch(number(parts.at(3))),
                         {}};
-  for (const json::value& life : parts.at(4).as_array()) {
-    range.previous_owners.push_back(life_of(life));
+  for (const json::value& predecessor : parts.at(4).as_array()) {
+    range.previous.push_back(server_incarnation_of(predecessor));
   }
   return range;
 }
@@ -159,13 +160,13 @@
 json::array ranges_array(const std::vector<fleet::KeyRange>& list) {
   json::array ranges;
   for (const fleet::KeyRange& range : list) {
-    json::array previous_owners;
-    for (const fleet::ServerIncarnation& life : range.previous_owners) {
-      previous_owners.push_back(life_array(life));
+    json::array previous;
+    for (const fleet::ServerLife& predecessor : range.previous) {
+      previous.push_back(server_incarnation_array(predecessor));
     }
     ranges.push_back(json::array{range.first.value, range.last.value,
-                                 life_array(range.owner), range.epoch.value,
-                                 std::move(previous_owners)});
+                                 server_incarnation_array(range.owner),
+                                 range.epoch.value, std::move(previous)});
   }
   return ranges;
 }
@@ -191,12 +192,12 @@
   for (const fleet::KeyRange& range : ranges) {
     if (range.first.value != expected || range.last < range.first ||
         range.last.value > fleet::kMaxShardKey) {
-      throw std::runtime_error("ranges overlap or leave a gap");
+      throw std::runtime_error("key ranges overlap or have gaps");
     }
     expected = range.last.value + 1;
   }
   if (expected != fleet::kMaxShardKey + 1) {
-    throw std::runtime_error("ranges do not cover all keys");
+    throw std::runtime_error("key ranges do not cover all keys");
   }
 }
 
@@ -239,18 +240,18 @@
     object["name"] = heartbeat.daemon.name.str();
     object["incarnation"] = heartbeat.daemon.incarnation.value;
   }
-  // Fields at their usual value are left out: heartbeats are many.
+  // Fields with default values are omitted, because heartbeats are frequent.
   if (heartbeat.stopping) object["stopping"] = true;
   if (heartbeat.store_unreachable_for.count() > 0) {
     object["store_silent_ms"] = to_ms(heartbeat.store_unreachable_for);
   }
-  if (!heartbeat.key_load_reports.empty())
-    object["heats"] = heats_array(heartbeat);
+  if (!heartbeat.heats.empty())
+    object["heats"] = service_reports_array(heartbeat);
   if (!heartbeat.strikes.empty()) {
     json::array strikes;
     for (const fleet::Strike& strike : heartbeat.strikes) {
-      strikes.push_back(
-          json::array{strike.request.value, life_array(strike.server)});
+      strikes.push_back(json::array{strike.request.value,
+                                    server_incarnation_array(strike.server)});
     }
     object["strikes"] = std::move(strikes);
   }
@@ -263,9 +264,9 @@
   return object;
 }
 
-fleet::HeartbeatBatch bundle_of(const json::object& object) {
-  fleet::HeartbeatBatch batch;
-  batch.relay = object.if_contains("relay") != nullptr;
+fleet::HeartbeatBundle heartbeat_batch_of(const json::object& object) {
+  fleet::HeartbeatBundle bundle;
+  bundle.relay = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
   }
@@ -301,7 +302,7 @@
 }
 
 Result<DaemonMessage> decode_datagram(std::string_view text) {
-  return guarded<DaemonMessage>(
+  return parse_object<DaemonMessage>(
       text, "message", [](const json::object& object) {
         if (object.if_contains("map") != nullptr) {
           return DaemonMessage(change_of(object));
@@ -310,7 +311,7 @@
           return DaemonMessage(store_update_of(object));
         }
         if (object.if_contains("heartbeats") != nullptr) {
-          return DaemonMessage(bundle_of(object));
+          return DaemonMessage(heartbeat_batch_of(object));
         }
         return DaemonMessage(heartbeat_of(object));
       });
@@ -327,7 +328,7 @@
 }
 
 Result<fleet::OwnerMap> decode_owner_map(std::string_view text) {
-  return guarded<fleet::OwnerMap>(text, "owner map", map_of);
+  return parse_object<fleet::OwnerMap>(text, "owner map", map_of);
 }
 
 std::string encode_daemon(const fleet::DaemonRecord& daemon) {
@@ -335,7 +336,7 @@
 }
 
 Result<fleet::DaemonRecord> decode_daemon(std::string_view text) {
-  return guarded<fleet::DaemonRecord>(text, "daemon", daemon_of);
+  return parse_object<fleet::DaemonRecord>(text, "daemon", daemon_of);
 }
 
 }  // namespace eelgrasspin::codec
--- a/src/codec/fleet_json.h
+++ b/src/codec/fleet_json.h
@@ -8,7 +8,8 @@
 #include "eelgrasspin/result.h"
 #include "fleet/model.h"
 
-/// What daemons of a fleet send each other and keep in the store, as JSON.
+/// JSON encoding of the messages between daemons of a fleet, and of the records
+/// that they keep in the store.
 namespace eelgrasspin::codec {
 
 using DaemonMessage = std::variant<fleet::Heartbeat, fleet::HeartbeatBatch,
@@ -21,7 +22,7 @@
 Result<DaemonMessage> decode_datagram(std::string_view text);
 
 std::string encode_owner_map(const fleet::OwnerMap& map);
-/// A map whose ranges overlap or leave gaps is an error.
+/// Rejects a map whose key ranges overlap or have gaps.
 Result<fleet::OwnerMap> decode_owner_map(std::string_view text);
 
 std::string encode_daemon(const fleet::DaemonRecord& daemon);
--- a/src/codec/json.cc
+++ b/src/codec/json.cc
@@ -7,7 +7,7 @@
   options.allow_invalid_utf8 = true;
   boost::system::error_code code;
   json::value value = json::parse(text, code, {}, options);
-  if (code) failure.set("not JSON: " + code.message());
+  if (code) failure.set("invalid JSON: " + code.message());
   return value;
 }
 
--- a/src/codec/json_p.h
+++ b/src/codec/json_p.h
@@ -17,54 +17,56 @@
 #include "eelgrasspin/ids.h"
 #include "eelgrasspin/units.h"
 
-/// Private to src/codec: maps plain structs to JSON and back. A struct lists
-/// its members once, in `fields(archive, value)`; writers and readers are the
-/// archives.
+/// Private to src/codec: converts plain structs to and from JSON. A struct
+/// lists its members once, in `fields(archive, value)`, where the archive is
+/// one of the writers or readers below.
 namespace eelgrasspin::codec {
 
 namespace json = boost::json;
 
-/// First thing found wrong while reading; empty if nothing is.
+/// First error found while decoding; empty if there is none.
 struct Failure {
-  std::string why;
+  std::string message;
 
-  bool failed() const { return !why.empty(); }
+  bool failed() const { return !message.empty(); }
   void set(std::string text) {
-    if (why.empty()) why = std::move(text);
+    if (message.empty()) message = std::move(text);
+  }
+  /// Prefixes the message with the field in which the error was found.
+  void prepend_location(std::string_view location) {
+    message = std::string(location) + ": " + message;
   }
-  /// Puts the place in front of what was found there.
-  void locate(std::string_view place) { why = std::string(place) + ": " + why; }
 };
 
-/// `T` for an archive that reads into it, `const T` for one that writes it.
+/// `T` for an archive that reads into the value, `const T` for one that writes
+/// it.
 template <class Archive, class T>
-using Like = std::conditional_t<Archive::kReading, T, const T>;
+using ConstIfWriting = std::conditional_t<Archive::kReading, T, const T>;
 
-/// Whether a struct is written as an array in the order of its fields, without
-/// their names.
+/// Whether a struct is encoded as an array of its field values, without names.
 template <class T>
-inline constexpr bool kAsRow = false;
+inline constexpr bool kWrittenAsArray = false;
 
-/// Last constant of an enumeration; numbers above it cannot be read.
+/// Last enumerator of an enumeration; greater numbers are rejected.
 template <class E>
-struct LastOf;
+struct LastEnumerator;
 
-/// Name of an alternative of a variant, its "type" in JSON.
+/// The value of "type" in the JSON of a variant's alternative.
 template <class T>
 struct TypeName;
 
-/// JSON form of one type: put() writes it, take() reads it.
+/// JSON form of one type: encode() writes it, decode() reads it.
 template <class T>
 struct Json;
 
 template <class T>
 json::value to_json(const T& value) {
-  return Json<T>::put(value);
+  return Json<T>::encode(value);
 }
 
 template <class T>
 void from_json(const json::value& value, T& out, Failure& failure) {
-  if (!failure.failed()) Json<T>::take(value, out, failure);
+  if (!failure.failed()) Json<T>::decode(value, out, failure);
 }
 
 class ObjectWriter {
@@ -77,7 +79,7 @@
     object_.emplace(name, to_json(value));
   }
   template <class T>
-  void added(std::string_view name, const T& value) {
+  void optional_field(std::string_view name, const T& value) {
     (*this)(name, value);
   }
 
@@ -85,17 +87,17 @@
   json::object& object_;
 };
 
-class RowWriter {
+class ArrayWriter {
  public:
   static constexpr bool kReading = false;
 
-  explicit RowWriter(json::array& row) : row_(row) {}
+  explicit ArrayWriter(json::array& row) : row_(row) {}
   template <class T>
   void operator()(std::string_view, const T& value) {
     row_.push_back(to_json(value));
   }
   template <class T>
-  void added(std::string_view name, const T& value) {
+  void optional_field(std::string_view name, const T& value) {
     (*this)(name, value);
   }
 
@@ -113,9 +115,10 @@
   void operator()(std::string_view name, T& out) {
     read(name, out, true);
   }
-  /// A field that older writers do not have; left as it is when missing.
+  /// A field that older versions do not write; `out` is unchanged if it is
+  /// missing.
   template <class T>
-  void added(std::string_view name, T& out) {
+  void optional_field(std::string_view name, T& out) {
     read(name, out, false);
   }
 
@@ -129,25 +132,25 @@
     } else if (required) {
       failure_.set("missing");
     }
-    if (failure_.failed()) failure_.locate(name);
+    if (failure_.failed()) failure_.prepend_location(name);
   }
 
   const json::object& object_;
   Failure& failure_;
 };
 
-class RowReader {
+class ArrayReader {
  public:
   static constexpr bool kReading = true;
 
-  RowReader(const json::array& row, Failure& failure)
+  ArrayReader(const json::array& row, Failure& failure)
       : row_(row), failure_(failure) {}
   template <class T>
   void operator()(std::string_view name, T& out) {
     read(name, out, true);
   }
   template <class T>
-  void added(std::string_view name, T& out) {
+  void optional_field(std::string_view name, T& out) {
     read(name, out, false);
   }
 
@@ -161,7 +164,7 @@
       failure_.set("missing");
     }
     ++next_;
-    if (failure_.failed()) failure_.locate(name);
+    if (failure_.failed()) failure_.prepend_location(name);
   }
 
   const json::array& row_;
@@ -169,13 +172,13 @@
   Failure& failure_;
 };
 
-/// Structs with fields().
+/// Default for structs that have fields().
 template <class T>
 struct Json {
-  static json::value put(const T& value) {
-    if constexpr (kAsRow<T>) {
+  static json::value encode(const T& value) {
+    if constexpr (kWrittenAsArray<T>) {
       json::array row;
-      RowWriter writer(row);
+      ArrayWriter writer(row);
       fields(writer, value);
       return row;
     } else {
@@ -186,11 +189,11 @@
     }
   }
 
-  static void take(const json::value& value, T& out, Failure& failure) {
-    if constexpr (kAsRow<T>) {
+  static void decode(const json::value& value, T& out, Failure& failure) {
+    if constexpr (kWrittenAsArray<T>) {
       const json::array* row = value.if_array();
       if (row == nullptr) return failure.set("not an array");
-      RowReader reader(*row, failure);
+      ArrayReader reader(*row, failure);
       fields(reader, out);
     } else {
       const json::object* object = value.if_object();
@@ -203,20 +206,20 @@
 
 template <>
 struct Json<bool> {
-  static json::value put(bool value) { return value; }
-  static void take(const json::value& value, bool& out, Failure& failure) {
+  static json::value encode(bool value) { return value; }
+  static void decode(const json::value& value, bool& out, Failure& failure) {
     if (const bool* found = value.if_bool()) {
       out = *found;
     } else {
-      failure.set("not true or false");
+      failure.set("not a boolean");
     }
   }
 };
 
 template <std::integral T>
 struct Json<T> {
-  static json::value put(T value) { return value; }
-  static void take(const json::value& value, T& out, Failure& failure) {
+  static json::value encode(T value) { return value; }
+  static void decode(const json::value& value, T& out, Failure& failure) {
     boost::system::error_code code;
     if (value.is_int64() || value.is_uint64()) {
       T number = value.to_number<T>(code);
@@ -225,15 +228,16 @@
         return;
       }
     }
-    failure.set("not a whole number in range");
+    failure.set("not an integer in range");
   }
 };
 
-/// Rates and weights; Boost.JSON may read back another last digit.
+/// Used for rates and weights; with Boost.JSON the last digit may differ after
+/// a round trip.
 template <>
 struct Json<double> {
-  static json::value put(double value) { return value; }
-  static void take(const json::value& value, double& out, Failure& failure) {
+  static json::value encode(double value) { return value; }
+  static void decode(const json::value& value, double& out, Failure& failure) {
     if (!value.is_number()) return failure.set("not a number");
     out = value.to_number<double>();
   }
@@ -243,12 +247,12 @@
 requires std::is_enum_v<E>
 struct Json<E> {
   using Rep = std::uint64_t;
-  static json::value put(E value) { return static_cast<Rep>(value); }
-  static void take(const json::value& value, E& out, Failure& failure) {
+  static json::value encode(E value) { return static_cast<Rep>(value); }
+  static void decode(const json::value& value, E& out, Failure& failure) {
     Rep number = 0;
-    Json<Rep>::take(value, number, failure);
+    Json<Rep>::decode(value, number, failure);
     if (failure.failed()) return;
-    if (number > static_cast<Rep>(LastOf<E>::kValue)) {
+    if (number > static_cast<Rep>(LastEnumerator<E>::kValue)) {
       return failure.set("unknown value " + std::to_string(number));
     }
     out = static_cast<E>(number);
@@ -257,11 +261,11 @@
 
 template <>
 struct Json<std::string> {
-  static json::value put(const std::string& value) {
+  static json::value encode(const std::string& value) {
     return json::string(value);
   }
-  static void take(const json::value& value, std::string& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::string& out,
+                     Failure& failure) {
     const json::string* text = value.if_string();
     if (text == nullptr) return failure.set("not a string");
     out.assign(text->data(), text->size());
@@ -270,68 +274,74 @@
 
 template <class Tag>
 struct Json<Name<Tag>> {
-  static json::value put(const Name<Tag>& value) {
+  static json::value encode(const Name<Tag>& value) {
     return json::string(value.str());
   }
-  static void take(const json::value& value, Name<Tag>& out, Failure& failure) {
+  static void decode(const json::value& value, Name<Tag>& out,
+                     Failure& failure) {
     std::string text;
-    Json<std::string>::take(value, text, failure);
+    Json<std::string>::decode(value, text, failure);
     out = Name<Tag>(std::move(text));
   }
 };
 
 template <class Tag, class Rep>
 struct Json<Number<Tag, Rep>> {
-  static json::value put(const Number<Tag, Rep>& value) { return value.value; }
-  static void take(const json::value& value, Number<Tag, Rep>& out,
-                   Failure& failure) {
-    Json<Rep>::take(value, out.value, failure);
+  static json::value encode(const Number<Tag, Rep>& value) {
+    return value.value;
+  }
+  static void decode(const json::value& value, Number<Tag, Rep>& out,
+                     Failure& failure) {
+    Json<Rep>::decode(value, out.value, failure);
   }
 };
 
 template <>
 struct Json<Duration> {
-  static json::value put(Duration value) { return value.count(); }
-  static void take(const json::value& value, Duration& out, Failure& failure) {
+  static json::value encode(Duration value) { return value.count(); }
+  static void decode(const json::value& value, Duration& out,
+                     Failure& failure) {
     Duration::rep count = 0;
-    Json<Duration::rep>::take(value, count, failure);
+    Json<Duration::rep>::decode(value, count, failure);
     out = Duration(count);
   }
 };
 
 template <>
 struct Json<WallTime> {
-  static json::value put(WallTime value) {
+  static json::value encode(WallTime value) {
     return to_json(value.time_since_epoch());
   }
-  static void take(const json::value& value, WallTime& out, Failure& failure) {
-    Duration since{0};
-    Json<Duration>::take(value, since, failure);
-    out = WallTime(since);
+  static void decode(const json::value& value, WallTime& out,
+                     Failure& failure) {
+    Duration since_epoch{0};
+    Json<Duration>::decode(value, since_epoch, failure);
+    out = WallTime(since_epoch);
   }
 };
 
 template <class T>
 struct Json<std::optional<T>> {
-  static json::value put(const std::optional<T>& value) {
+  static json::value encode(const std::optional<T>& value) {
     return value ? to_json(*value) : json::value(nullptr);
   }
-  static void take(const json::value& value, std::optional<T>& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::optional<T>& out,
+                     Failure& failure) {
     out.reset();
-    if (!value.is_null()) Json<T>::take(value, out.emplace(), failure);
+    if (!value.is_null()) Json<T>::decode(value, out.emplace(), failure);
   }
 };
 
 template <class A, class B>
 struct Json<std::pair<A, B>> {
-  static json::value put(const std::pair<A, B>& value) {
+  static json::value encode(const std::pair<A, B>& value) {
     return json::array{to_json(value.first), to_json(value.second)};
   }
-  static void take(const json::value& value, std::pair<A, B>& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::pair<A, B>& out,
+                     Failure& failure) {
     const json::array* pair = value.if_array();
-    if (pair == nullptr || pair->size() != 2) return failure.set("not a pair");
+    if (pair == nullptr || pair->size() != 2)
+      return failure.set("not an array of length 2");
     from_json((*pair)[0], out.first, failure);
     from_json((*pair)[1], out.second, failure);
   }
@@ -339,14 +349,14 @@
 
 template <class T>
 struct Json<std::vector<T>> {
-  static json::value put(const std::vector<T>& values) {
+  static json::value encode(const std::vector<T>& values) {
     json::array array;
     array.reserve(values.size());
     for (const T& value : values) array.push_back(to_json(value));
     return array;
   }
-  static void take(const json::value& value, std::vector<T>& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::vector<T>& out,
+                     Failure& failure) {
     const json::array* array = value.if_array();
     if (array == nullptr) return failure.set("not an array");
     out.clear();
@@ -360,25 +370,25 @@
 
 template <class T, std::size_t N>
 struct Json<std::array<T, N>> {
-  static json::value put(const std::array<T, N>& values) {
+  static json::value encode(const std::array<T, N>& values) {
     json::array array;
     for (const T& value : values) array.push_back(to_json(value));
     return array;
   }
-  static void take(const json::value& value, std::array<T, N>& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::array<T, N>& out,
+                     Failure& failure) {
     const json::array* array = value.if_array();
     if (array == nullptr || array->size() != N) {
-      return failure.set("not an array of " + std::to_string(N));
+      return failure.set("not an array of length " + std::to_string(N));
     }
     for (std::size_t i = 0; i < N; ++i) from_json((*array)[i], out[i], failure);
   }
 };
 
-/// A map is an array of pairs, whatever its key.
+/// A map is encoded as an array of pairs, for any type of key.
 template <class K, class V>
 struct Json<std::map<K, V>> {
-  static json::value put(const std::map<K, V>& map) {
+  static json::value encode(const std::map<K, V>& map) {
     json::array array;
     array.reserve(map.size());
     for (const auto& [key, value] : map) {
@@ -386,10 +396,10 @@
     }
     return array;
   }
-  static void take(const json::value& value, std::map<K, V>& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, std::map<K, V>& out,
+                     Failure& failure) {
     std::vector<std::pair<K, V>> pairs;
-    Json<std::vector<std::pair<K, V>>>::take(value, pairs, failure);
+    Json<std::vector<std::pair<K, V>>>::decode(value, pairs, failure);
     out.clear();
     for (auto& [key, item] : pairs) {
       out.emplace(std::move(key), std::move(item));
@@ -397,11 +407,12 @@
   }
 };
 
-/// A variant is the object of its alternative with that one's name as "type".
+/// A variant is encoded as the object of its alternative, with the
+/// alternative's TypeName as "type".
 template <class... Ts>
 struct Json<std::variant<Ts...>> {
   using Variant = std::variant<Ts...>;
-  static json::value put(const Variant& variant) {
+  static json::value encode(const Variant& variant) {
     return std::visit(
         []<class T>(const T& alternative) {
           json::object object;
@@ -412,30 +423,30 @@
         },
         variant);
   }
-  static void take(const json::value& value, Variant& out, Failure& failure) {
+  static void decode(const json::value& value, Variant& out, Failure& failure) {
     const json::object* object = value.if_object();
     if (object == nullptr) return failure.set("not an object");
     std::string type;
     ObjectReader reader(*object, failure);
     reader("type", type);
     if (failure.failed()) return;
-    if (!(take_as<Ts>(type, reader, out) || ...)) {
+    if (!(decode_as<Ts>(type, reader, out) || ...)) {
       failure.set("unknown type " + type);
     }
   }
 
  private:
   template <class T>
-  static bool take_as(const std::string& type, ObjectReader& reader,
-                      Variant& out) {
+  static bool decode_as(const std::string& type, ObjectReader& reader,
+                        Variant& out) {
     if (type != TypeName<T>::kValue) return false;
     fields(reader, out.template emplace<T>());
     return true;
   }
 };
 
-/// Reads a text as JSON. Strings may hold any bytes: routing keys are what
-/// callers sent.
+/// Parses JSON text. Strings may contain invalid UTF-8, because routing keys
+/// are kept exactly as callers send them.
 json::value parse_text(std::string_view text, Failure& failure);
 
 }  // namespace eelgrasspin::codec
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -6,19 +6,19 @@
 #include "eelgrasspin/peer_message.h"
 #include "eelgrasspin/vm_list.h"
 
-/// Private to src/codec: fields of the messages between daemons, of grant
-/// orders and of the VM list.
+/// Private to src/codec: fields of messages between daemons, of grant orders
+/// and replies, and of VM list entries.
 namespace eelgrasspin::codec {
 
 template <>
-struct LastOf<VmState> {
+struct LastEnumerator<VmState> {
   static constexpr auto kValue = VmState::kGone;
 };
 
 template <>
-inline constexpr bool kAsRow<SlotGrant> = true;
+inline constexpr bool kWrittenAsArray<SlotGrant> = true;
 template <>
-inline constexpr bool kAsRow<HotKey> = true;
+inline constexpr bool kWrittenAsArray<HotKey> = true;
 
 template <>
 struct TypeName<Heartbeat> {
@@ -78,20 +78,20 @@
 };
 
 template <class A>
-void fields(A& a, Like<A, SlotGrant>& v) {
+void fields(A& a, ConstIfWriting<A, SlotGrant>& v) {
   a("slot", v.slot);
   a("key", v.key);
   a("epoch", v.epoch);
 }
 
 template <class A>
-void fields(A& a, Like<A, HotKey>& v) {
+void fields(A& a, ConstIfWriting<A, HotKey>& v) {
   a("key", v.key);
   a("rate", v.rate);
 }
 
 template <class A>
-void fields(A& a, Like<A, FrontReport>& v) {
+void fields(A& a, ConstIfWriting<A, FrontReport>& v) {
   a("server", v.server);
   a("front_epoch", v.front_epoch);
   a("holds_grant", v.holds_grant);
@@ -108,7 +108,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, Heartbeat>& v) {
+void fields(A& a, ConstIfWriting<A, Heartbeat>& v) {
   a("daemon", v.daemon);
   a("zone", v.zone);
   a("address", v.address);
@@ -124,7 +124,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, HeartbeatAnswer>& v) {
+void fields(A& a, ConstIfWriting<A, HeartbeatAnswer>& v) {
   a("zone", v.zone);
   a("coordinator", v.coordinator);
   a("coordinator_epoch", v.coordinator_epoch);
@@ -133,7 +133,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, StoreRelay>& v) {
+void fields(A& a, ConstIfWriting<A, StoreRelay>& v) {
   a("zone", v.zone);
   a("coordinator_epoch", v.coordinator_epoch);
   a("since", v.since);
@@ -142,13 +142,13 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, CacheRequest>& v) {
+void fields(A& a, ConstIfWriting<A, CacheRequest>& v) {
   a("daemon", v.daemon);
   a("address", v.address);
 }
 
 template <class A>
-void fields(A& a, Like<A, PeerHello>& v) {
+void fields(A& a, ConstIfWriting<A, PeerHello>& v) {
   a("daemon", v.daemon);
   a("zone", v.zone);
   a("incarnation", v.incarnation);
@@ -157,7 +157,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, IntentBatch>& v) {
+void fields(A& a, ConstIfWriting<A, IntentBatch>& v) {
   a("daemon", v.daemon);
   a("address", v.address);
   a("batch", v.batch);
@@ -166,19 +166,19 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, IntentVerdict>& v) {
+void fields(A& a, ConstIfWriting<A, IntentVerdict>& v) {
   a("recorded", v.recorded);
   a("earlier", v.earlier);
 }
 
 template <class A>
-void fields(A& a, Like<A, IntentBatchAnswer>& v) {
+void fields(A& a, ConstIfWriting<A, IntentBatchAnswer>& v) {
   a("batch", v.batch);
   a("verdicts", v.verdicts);
 }
 
 template <class A>
-void fields(A& a, Like<A, IntentOutcomes>& v) {
+void fields(A& a, ConstIfWriting<A, IntentOutcomes>& v) {
   a("daemon", v.daemon);
   a("intents", v.intents);
   a("address", v.address);
@@ -187,7 +187,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, StrikeReport>& v) {
+void fields(A& a, ConstIfWriting<A, StrikeReport>& v) {
   a("daemon", v.daemon);
   a("entry", v.entry);
   a("event", v.event);
@@ -195,7 +195,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, CommandCall>& v) {
+void fields(A& a, ConstIfWriting<A, CommandCall>& v) {
   a("call", v.call);
   a("from", v.from);
   a("address", v.address);
@@ -206,14 +206,14 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, CommandCallAnswer>& v) {
+void fields(A& a, ConstIfWriting<A, CommandCallAnswer>& v) {
   a("call", v.call);
   a("from", v.from);
   a("answer", v.answer);
 }
 
 template <class A>
-void fields(A& a, Like<A, GrantOrder>& v) {
+void fields(A& a, ConstIfWriting<A, GrantOrder>& v) {
   a("front", v.front);
   a("front_epoch", v.front_epoch);
   a("sequence", v.sequence);
@@ -226,7 +226,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, GrantAnswer>& v) {
+void fields(A& a, ConstIfWriting<A, GrantAnswer>& v) {
   a("incarnation", v.incarnation);
   a("front_epoch", v.front_epoch);
   a("sequence", v.sequence);
@@ -237,17 +237,17 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, GrantStale>& v) {
-  a("highest", v.highest_epoch);
+void fields(A& a, ConstIfWriting<A, GrantStale>& v) {
+  a("highest", v.highest);
 }
 
 template <class A>
-void fields(A& a, Like<A, GrantUnreachable>& v) {
+void fields(A& a, ConstIfWriting<A, GrantUnreachable>& v) {
   a("connection_refused", v.connection_refused);
 }
 
 template <class A>
-void fields(A& a, Like<A, VmEntry>& v) {
+void fields(A& a, ConstIfWriting<A, VmEntry>& v) {
   a("name", v.name);
   a("state", v.state);
 }
--- a/src/codec/message_json.cc
+++ b/src/codec/message_json.cc
@@ -16,7 +16,7 @@
   json::value value = parse_text(text, failure);
   T out;
   from_json(value, out, failure);
-  if (failure.failed()) return Error{ErrorCode::kInvalid, failure.why};
+  if (failure.failed()) return Error{ErrorCode::kInvalid, failure.message};
   return out;
 }
 
--- a/src/codec/message_json.h
+++ b/src/codec/message_json.h
@@ -12,6 +12,8 @@
 #include "eelgrasspin/timeline.h"
 #include "eelgrasspin/vm_list.h"
 
+/// JSON encoding of messages between daemons, grant orders, command answers and
+/// VM lists.
 namespace eelgrasspin::codec {
 
 std::string encode_message(const PeerMessage& message);
@@ -20,7 +22,7 @@
 std::string encode_grant_order(const GrantOrder& order);
 Result<GrantOrder> decode_grant_order(std::string_view text);
 
-/// GrantAnswer and GrantStale only; GrantUnreachable has no text.
+/// For GrantAnswer and GrantStale; GrantUnreachable is never sent.
 std::string encode_grant_reply(const GrantReply& reply);
 Result<GrantReply> decode_grant_reply(std::string_view text);
 
--- a/src/codec/record_fields_p.h
+++ b/src/codec/record_fields_p.h
@@ -5,49 +5,49 @@
 #include "codec/json_p.h"
 #include "eelgrasspin/records.h"
 
-/// Private to src/codec: fields of the records that the store keeps.
+/// Private to src/codec: fields of the records kept in the store. Those of
 /// OwnershipMap and ZoneMap are in compact_map.cc.
 namespace eelgrasspin::codec {
 
 template <>
-struct LastOf<ServerStatus> {
+struct LastEnumerator<ServerStatus> {
   static constexpr auto kValue = ServerStatus::kLost;
 };
 template <>
-struct LastOf<SlotPhase> {
+struct LastEnumerator<SlotPhase> {
   static constexpr auto kValue = SlotPhase::kClosed;
 };
 template <>
-struct LastOf<IntentState> {
+struct LastEnumerator<IntentState> {
   static constexpr auto kValue = IntentState::kUnknown;
 };
 template <>
-struct LastOf<ClosureStep> {
+struct LastEnumerator<ClosureStep> {
   static constexpr auto kValue = ClosureStep::kCancelled;
 };
 template <>
-struct LastOf<CommandState> {
+struct LastEnumerator<CommandState> {
   static constexpr auto kValue = CommandState::kLostToConflict;
 };
 template <>
-struct LastOf<Outcome> {
+struct LastEnumerator<Outcome> {
   static constexpr auto kValue = Outcome::kUnknown;
 };
 template <>
-struct LastOf<Reason> {
+struct LastEnumerator<Reason> {
   static constexpr auto kValue =
       static_cast<Reason>(static_cast<std::uint64_t>(Reason::kCount) - 1);
 };
 
 template <>
-inline constexpr bool kAsRow<Intent> = true;
+inline constexpr bool kWrittenAsArray<Intent> = true;
 template <>
-inline constexpr bool kAsRow<OwnershipSpan> = true;
+inline constexpr bool kWrittenAsArray<OwnershipSpan> = true;
 template <>
-inline constexpr bool kAsRow<RefusalSample> = true;
+inline constexpr bool kWrittenAsArray<RefusalSample> = true;
 
 template <class A>
-void fields(A& a, Like<A, CoordinatorLease>& v) {
+void fields(A& a, ConstIfWriting<A, CoordinatorLease>& v) {
   a("zone", v.zone);
   a("holder", v.holder);
   a("address", v.address);
@@ -57,7 +57,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, RosterMember>& v) {
+void fields(A& a, ConstIfWriting<A, RosterMember>& v) {
   a("daemon", v.daemon);
   a("address", v.address);
   a("incarnation", v.incarnation);
@@ -65,14 +65,14 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, FrontPredecessor>& v) {
+void fields(A& a, ConstIfWriting<A, FrontPredecessor>& v) {
   a("daemon", v.daemon);
   a("incarnation", v.incarnation);
   a("epoch", v.epoch);
 }
 
 template <class A>
-void fields(A& a, Like<A, FrontAssignment>& v) {
+void fields(A& a, ConstIfWriting<A, FrontAssignment>& v) {
   a("daemon", v.daemon);
   a("address", v.address);
   a("incarnation", v.incarnation);
@@ -82,7 +82,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, ZoneRoster>& v) {
+void fields(A& a, ConstIfWriting<A, ZoneRoster>& v) {
   a("zone", v.zone);
   a("coordinator_epoch", v.coordinator_epoch);
   a("write_id", v.write_id);
@@ -94,7 +94,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, SlotRecord>& v) {
+void fields(A& a, ConstIfWriting<A, SlotRecord>& v) {
   a("owner", v.owner);
   a("epoch", v.epoch);
   a("phase", v.phase);
@@ -103,7 +103,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, Intent>& v) {
+void fields(A& a, ConstIfWriting<A, Intent>& v) {
   a("service", v.service);
   a("slot", v.slot);
   a("idempotency_key", v.idempotency_key);
@@ -115,7 +115,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, IntentSegment>& v) {
+void fields(A& a, ConstIfWriting<A, IntentSegment>& v) {
   a("zone", v.zone);
   a("number", v.number);
   a("coordinator_epoch", v.coordinator_epoch);
@@ -125,7 +125,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, QuarantineEntry>& v) {
+void fields(A& a, ConstIfWriting<A, QuarantineEntry>& v) {
   a("fingerprint", v.fingerprint);
   a("service", v.service);
   a("operation", v.operation);
@@ -135,7 +135,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, QuarantineList>& v) {
+void fields(A& a, ConstIfWriting<A, QuarantineList>& v) {
   a("zone", v.zone);
   a("write_id", v.write_id);
   a("entries", v.entries);
@@ -143,14 +143,14 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, OutcomeCounts>& v) {
+void fields(A& a, ConstIfWriting<A, OutcomeCounts>& v) {
   a("by_reason", v.by_reason);
   a("admitted", v.admitted);
   a("in_flight", v.in_flight);
 }
 
 template <class A>
-void fields(A& a, Like<A, RefusalSample>& v) {
+void fields(A& a, ConstIfWriting<A, RefusalSample>& v) {
   a("when", v.when);
   a("operation", v.operation);
   a("key", v.key);
@@ -159,7 +159,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, DaemonAccount>& v) {
+void fields(A& a, ConstIfWriting<A, DaemonAccount>& v) {
   a("daemon", v.daemon);
   a("incarnation", v.incarnation);
   a("as_of", v.as_of);
@@ -168,7 +168,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, ZoneAccount>& v) {
+void fields(A& a, ConstIfWriting<A, ZoneAccount>& v) {
   a("service", v.service);
   a("zone", v.zone);
   a("write_id", v.write_id);
@@ -176,7 +176,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, OwnershipSpan>& v) {
+void fields(A& a, ConstIfWriting<A, OwnershipSpan>& v) {
   a("first_slot", v.first_slot);
   a("last_slot", v.last_slot);
   a("key", v.key);
@@ -187,7 +187,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, OwnershipHistory>& v) {
+void fields(A& a, ConstIfWriting<A, OwnershipHistory>& v) {
   a("service", v.service);
   a("zone", v.zone);
   a("write_id", v.write_id);
@@ -196,7 +196,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, ClosurePart>& v) {
+void fields(A& a, ConstIfWriting<A, ClosurePart>& v) {
   a("service", v.service);
   a("zone", v.zone);
   a("closure", v.closure);
@@ -211,7 +211,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, Closure>& v) {
+void fields(A& a, ConstIfWriting<A, Closure>& v) {
   a("service", v.service);
   a("id", v.id);
   a("ordered_by", v.ordered_by);
@@ -228,7 +228,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, CommandRecord>& v) {
+void fields(A& a, ConstIfWriting<A, CommandRecord>& v) {
   a("id", v.id);
   a("ordered_by", v.ordered_by);
   a("ordered", v.ordered);
@@ -242,7 +242,7 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, DrainPlan>& v) {
+void fields(A& a, ConstIfWriting<A, DrainPlan>& v) {
   a("id", v.id);
   a("server", v.server);
   a("ordered_by", v.ordered_by);
@@ -253,19 +253,20 @@
 }
 
 template <class A>
-void fields(A& a, Like<A, DamagedRecord>& v) {
-  a("why", v.reason);
+void fields(A& a, ConstIfWriting<A, DamagedRecord>& v) {
+  a("why", v.why);
 }
 
-/// Any record but monostate, with its type and format.
+/// Encodes any record other than monostate, with its type and format number.
 json::value record_to_json(const Record& record);
-/// DamagedRecord if it cannot be read.
+/// Returns a DamagedRecord if `value` cannot be decoded.
 Record record_from_json(const StoreKey& key, const json::value& value);
 
 template <>
 struct Json<StoreEntry> {
-  static json::value put(const StoreEntry& entry);
-  static void take(const json::value& value, StoreEntry& out, Failure& failure);
+  static json::value encode(const StoreEntry& entry);
+  static void decode(const json::value& value, StoreEntry& out,
+                     Failure& failure);
 };
 
 }  // namespace eelgrasspin::codec
--- a/src/codec/record_json.cc
+++ b/src/codec/record_json.cc
@@ -68,16 +68,16 @@
   static constexpr std::string_view kValue = "drain_plan";
 };
 
-/// Declarations are kept as their INI text, which is read again.
+/// Declarations are encoded as their INI text.
 template <>
 struct Json<Declarations> {
-  static json::value put(const Declarations& declarations) {
+  static json::value encode(const Declarations& declarations) {
     return to_json(declarations.source.empty()
                        ? config::print_declarations(declarations)
                        : declarations.source);
   }
-  static void take(const json::value& value, Declarations& out,
-                   Failure& failure) {
+  static void decode(const json::value& value, Declarations& out,
+                     Failure& failure) {
     std::string source;
     from_json(value, source, failure);
     if (failure.failed()) return;
@@ -90,7 +90,7 @@
 };
 
 template <class A>
-void fields(A& a, Like<A, DeclarationsRecord>& v) {
+void fields(A& a, ConstIfWriting<A, DeclarationsRecord>& v) {
   a("source", v.declarations);
   a("applied_by", v.applied_by);
   a("applied", v.applied);
@@ -98,14 +98,14 @@
 }
 
 template <class A>
-void fields(A&, Like<A, std::monostate>&) {}
+void fields(A&, ConstIfWriting<A, std::monostate>&) {}
 
 namespace {
 
 constexpr std::uint64_t kFormat = 1;
 
-/// The key under which a record belongs.
-struct KeyOf {
+/// The key under which a record is kept.
+struct StoreKeyOf {
   StoreKey operator()(const DeclarationsRecord&) { return declarations_key(); }
   StoreKey operator()(const CoordinatorLease& r) {
     return coordinator_lease_key(r.zone);
@@ -139,10 +139,10 @@
   }
 };
 
-bool belongs(const StoreKey& key, const Record& record) {
+bool belongs_under(const StoreKey& key, const Record& record) {
   if (std::holds_alternative<std::monostate>(record)) return true;
   if (std::holds_alternative<DamagedRecord>(record)) return true;
-  return std::visit(KeyOf{}, record) == key;
+  return std::visit(StoreKeyOf{}, record) == key;
 }
 
 }  // namespace
@@ -165,10 +165,10 @@
   }
   Record record;
   from_json(value, record, failure);
-  if (!failure.failed() && !belongs(key, record)) {
-    failure.set("does not belong under " + key.str());
+  if (!failure.failed() && !belongs_under(key, record)) {
+    failure.set("record does not match key " + key.str());
   }
-  if (failure.failed()) return DamagedRecord{failure.why};
+  if (failure.failed()) return DamagedRecord{failure.message};
   return record;
 }
 
@@ -181,11 +181,11 @@
   if (text.empty()) return std::monostate{};
   Failure failure;
   json::value value = parse_text(text, failure);
-  if (failure.failed()) return DamagedRecord{failure.why};
+  if (failure.failed()) return DamagedRecord{failure.message};
   return record_from_json(key, value);
 }
 
-json::value Json<StoreEntry>::put(const StoreEntry& entry) {
+json::value Json<StoreEntry>::encode(const StoreEntry& entry) {
   json::object object;
   object.emplace("key", to_json(entry.key));
   object.emplace("version", to_json(entry.version));
@@ -193,8 +193,8 @@
   return object;
 }
 
-void Json<StoreEntry>::take(const json::value& value, StoreEntry& out,
-                            Failure& failure) {
+void Json<StoreEntry>::decode(const json::value& value, StoreEntry& out,
+                              Failure& failure) {
   const json::object* object = value.if_object();
   if (object == nullptr) return failure.set("not an object");
   ObjectReader reader(*object, failure);
--- a/src/codec/record_json.h
+++ b/src/codec/record_json.h
@@ -6,13 +6,13 @@
 
 #include "eelgrasspin/records.h"
 
-/// Text forms of what goes to the store and between processes.
+/// JSON encoding of the records kept in the object store.
 namespace eelgrasspin::codec {
 
-/// JSON text of a record, with its type and format number; empty for monostate.
+/// Encodes a record with its type and format number; empty for monostate.
 std::string encode_record(const Record& record);
-/// DamagedRecord if the text cannot be read, is of a newer format, or does not
-/// belong under `key`.
+/// Returns a DamagedRecord if the text cannot be decoded, is of a newer format,
+/// or is not the record of `key`.
 Record decode_record(const StoreKey& key, std::string_view text);
 
 }  // namespace eelgrasspin::codec
--- a/src/codec/store_update_json.cc
+++ b/src/codec/store_update_json.cc
@@ -29,8 +29,8 @@
   server.slots = object.at("slots").to_number<std::uint32_t>();
   server.incarnation = Incarnation(number(object.at("incarnation")));
   server.draining = object.at("draining").as_bool();
-  server.warm_up_left = milliseconds(number(object.at("cold_ms")));
-  if (server.slots == 0) throw std::runtime_error("a server without slots");
+  server.cold_left = milliseconds(number(object.at("cold_ms")));
+  if (server.slots == 0) throw std::runtime_error("server has no slots");
   return server;
 }
 
@@ -61,10 +61,11 @@
         {ServiceName(view_of(destination.at(0))),
          destination.at(1).to_number<std::uint32_t>()});
   }
-  // What the store would not have been read as is not taken from a daemon.
+  // Reading the store never yields such a route, so one received from a daemon
+  // is invalid.
   if (route.destinations.empty() || route.attempts == 0 ||
       route.timeout.count() <= 0) {
-    throw std::runtime_error("a route without destination, time or attempts");
+    throw std::runtime_error("route has no destinations, timeout or attempts");
   }
   return route;
 }
