--- a/src/lang/duration.cc
+++ b/src/lang/duration.cc
@@ -11,13 +11,14 @@
   Duration length;
 };
 
-/// Longest first, so that printing takes the largest unit that fits.
+/// Longest first, so that print_duration() uses the largest unit without
+/// remainder.
 constexpr std::array<Unit, 5> kUnits = {{{"h", std::chrono::hours(1)},
                                          {"m", minutes(1)},
                                          {"s", seconds(1)},
                                          {"ms", milliseconds(1)},
                                          {"us", microseconds(1)}}};
-constexpr Duration kLongest = std::chrono::hours(24 * 365);
+constexpr Duration kMaxDuration = std::chrono::hours(24 * 365);
 
 }  // namespace
 
@@ -31,8 +32,9 @@
   std::string_view unit_name(rest, static_cast<std::size_t>(end - rest));
   for (const Unit& unit : kUnits) {
     if (unit.name != unit_name) continue;
-    auto most = static_cast<std::uint64_t>(kLongest / unit.length);
-    if (count > most) return Error{ErrorCode::kInvalid, "longer than a year"};
+    auto max_count = static_cast<std::uint64_t>(kMaxDuration / unit.length);
+    if (count > max_count)
+      return Error{ErrorCode::kInvalid, "longer than a year"};
     return static_cast<Duration::rep>(count) * unit.length;
   }
   return error;
--- a/src/lang/lang.cc
+++ b/src/lang/lang.cc
@@ -13,12 +13,12 @@
  public:
   std::string operator()(const ShowCommand& show) {
     out_ << "show " << to_string(show.subject);
-    const char* joint = " where ";
+    const char* separator = " where ";
     for (const Condition& condition : show.conditions) {
-      out_ << joint << condition.column << " "
+      out_ << separator << condition.column << " "
            << to_string(condition.comparison) << " "
            << word_or_quoted(condition.value);
-      joint = " and ";
+      separator = " and ";
     }
     if (show.since) out_ << " since " << print_duration(*show.since);
     if (show.limit) out_ << " limit " << *show.limit;
@@ -112,16 +112,17 @@
 }
 
 std::vector<std::string> completions(std::string_view text) {
-  // The word being typed is left out, so that the parser stops in front of it.
+  // Omits the word being typed, so that the parser stops in front of it.
   std::size_t space = text.find_last_of(" \t\r\n");
-  std::size_t start = space == std::string_view::npos ? 0 : space + 1;
-  std::string_view begun = text.substr(start);
-  Parser parser(text.substr(0, start), "command");
+  std::size_t word_start = space == std::string_view::npos ? 0 : space + 1;
+  std::string_view prefix = text.substr(word_start);
+  Parser parser(text.substr(0, word_start), "command");
   bool complete = std::holds_alternative<Command>(parser.run());
   std::vector<std::string> words;
   if (!complete && !parser.failed_at_end()) return words;
   for (const std::string& word : parser.expected()) {
-    if (word.starts_with('<') || word.starts_with(begun)) words.push_back(word);
+    if (word.starts_with('<') || word.starts_with(prefix))
+      words.push_back(word);
   }
   return words;
 }
--- a/src/lang/lang.h
+++ b/src/lang/lang.h
@@ -11,19 +11,19 @@
 /// Text form of the operators' command language; grammar in docs/COMMANDS.md.
 namespace eelgrasspin::lang {
 
-/// Reads one command. Findings carry the column and what was expected there;
-/// their file is `file`.
+/// Parses one command. Findings give the column and what was expected there;
+/// `file` is the file name in them.
 Checked<Command> parse(std::string_view text,
                        const std::string& file = "command");
-/// Canonical text; parse(print(c)) == c.
+/// Canonical text of a command; parse(print(c)) == c.
 std::string print(const Command& command);
 /// Whether the command changes nothing.
 bool is_query(const Command& command);
-/// Words that may come next after `text`, for completion: keywords that go on
-/// from the word being typed, and things such as "<service>" to be named.
+/// Completions of `text`: keywords that start with the word being typed, and
+/// placeholders such as "<service>".
 std::vector<std::string> completions(std::string_view text);
 
-/// "90s", "2m", "250ms", "1h".
+/// Parses a whole number with a unit, such as "90s", "2m", "250ms" or "1h".
 Result<Duration> parse_duration(std::string_view text);
 std::string print_duration(Duration duration);
 
--- a/src/lang/lexer.cc
+++ b/src/lang/lexer.cc
@@ -33,83 +33,86 @@
     do {
       tokens.push_back(next());
     } while (tokens.back().kind != TokenKind::kEnd &&
-             tokens.back().kind != TokenKind::kBad);
+             tokens.back().kind != TokenKind::kInvalid);
     return tokens;
   }
 
  private:
   Token next() {
-    while (at_ < text_.size() && is_space(text_[at_])) ++at_;
-    start_ = at_;
-    if (at_ == text_.size()) return token(TokenKind::kEnd, "");
-    if (text_[at_] == '"') return string();
-    if (is_operator_byte(text_[at_])) return comparison();
-    if (!is_word_byte(text_[at_])) {
-      return token(TokenKind::kBad, "a byte that is not printable ASCII");
+    while (position_ < text_.size() && is_space(text_[position_])) ++position_;
+    token_start_ = position_;
+    if (position_ == text_.size()) return token(TokenKind::kEnd, "");
+    if (text_[position_] == '"') return string();
+    if (is_operator_byte(text_[position_])) return comparison();
+    if (!is_word_byte(text_[position_])) {
+      return token(TokenKind::kInvalid, "a byte that is not printable ASCII");
     }
-    while (at_ < text_.size() && is_word_byte(text_[at_])) ++at_;
-    return token(TokenKind::kWord, text_.substr(start_, at_ - start_));
+    while (position_ < text_.size() && is_word_byte(text_[position_]))
+      ++position_;
+    return token(TokenKind::kWord,
+                 text_.substr(token_start_, position_ - token_start_));
   }
 
   Token comparison() {
-    char first = text_[at_++];
-    bool longer = first != '=' && at_ < text_.size() && text_[at_] == '=';
-    if (longer) ++at_;
-    if (first == '!' && !longer) return token(TokenKind::kBad, "a lone '!'");
-    return token(TokenKind::kOperator, text_.substr(start_, at_ - start_));
+    char first = text_[position_++];
+    bool has_equals =
+        first != '=' && position_ < text_.size() && text_[position_] == '=';
+    if (has_equals) ++position_;
+    if (first == '!' && !has_equals)
+      return token(TokenKind::kInvalid, "a '!' without '='");
+    return token(TokenKind::kOperator,
+                 text_.substr(token_start_, position_ - token_start_));
   }
 
   Token string() {
     std::string content;
-    ++at_;
-    while (at_ < text_.size()) {
-      char c = text_[at_++];
+    ++position_;
+    while (position_ < text_.size()) {
+      char c = text_[position_++];
       if (c == '"') return token(TokenKind::kString, content);
       if (c == '\\') {
         if (!escape(content)) {
-          start_ = at_;
-          return token(TokenKind::kBad, "an unknown escape");
+          token_start_ = position_;
+          return token(TokenKind::kInvalid, "an unknown escape sequence");
         }
       } else {
         content += c;
       }
     }
-    return token(TokenKind::kBad, "a string without its closing quote");
+    return token(TokenKind::kInvalid, "a string without its closing quote");
   }
 
-  /// Reads what follows a backslash.
+  /// Reads an escape sequence after its backslash; false if it is unknown.
   bool escape(std::string& content) {
-    if (at_ == text_.size()) return false;
-    char c = text_[at_];
+    if (position_ == text_.size()) return false;
+    char c = text_[position_];
     if (c == '"' || c == '\\') {
       content += c;
-      ++at_;
+      ++position_;
       return true;
     }
-    if (c != 'x' || text_.size() - at_ < 3) return false;
+    if (c != 'x' || text_.size() - position_ < 3) return false;
     unsigned byte = 0;
-    const char* digits = text_.data() + at_ + 1;
+    const char* digits = text_.data() + position_ + 1;
     auto [end, code] = std::from_chars(digits, digits + 2, byte, 16);
     if (code != std::errc() || end != digits + 2) return false;
     content += static_cast<char>(byte);
-    at_ += 3;
+    position_ += 3;
     return true;
   }
 
   Token token(TokenKind kind, std::string_view text) const {
-    return {kind, std::string(text), static_cast<int>(start_) + 1};
+    return {kind, std::string(text), static_cast<int>(token_start_) + 1};
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
-  std::size_t start_ = 0;
+  std::size_t position_ = 0;
+  std::size_t token_start_ = 0;
 };
 
 }  // namespace
 
-std::vector<Token> tokens_of(std::string_view text) {
-  return Lexer(text).run();
-}
+std::vector<Token> tokenize(std::string_view text) { return Lexer(text).run(); }
 
 std::string quoted(std::string_view text) {
   std::string out = "\"";
--- a/src/lang/lexer.h
+++ b/src/lang/lexer.h
@@ -10,24 +10,24 @@
 
 enum class TokenKind : std::uint8_t {
   kWord,      ///< Keyword, name, number or duration.
-  kString,    ///< In double quotes; `text` is what it stands for.
+  kString,    ///< In double quotes; `text` is the value without escapes.
   kOperator,  ///< = != < <= > >=
-  kBad,       ///< `text` says what is wrong.
+  kInvalid,   ///< `text` describes what is wrong.
   kEnd,
 };
 
 struct Token {
   TokenKind kind = TokenKind::kEnd;
   std::string text;
-  int column = 1;  ///< Of its first byte, from 1.
+  int column = 1;  ///< Of its first byte, 1-based.
 };
 
-/// Tokens of a command; the last one is kEnd or kBad.
-std::vector<Token> tokens_of(std::string_view text);
+/// Tokens of a command; the last one is kEnd or kInvalid.
+std::vector<Token> tokenize(std::string_view text);
 
-/// A string in quotes, with escapes, that tokens_of() reads back.
+/// `text` in quotes, with escapes, as tokenize() reads it.
 std::string quoted(std::string_view text);
-/// `text` as a word if it can be one, else quoted.
+/// `text` as it is if it is a valid word, or else quoted.
 std::string word_or_quoted(std::string_view text);
 
 }  // namespace eelgrasspin::lang
--- a/src/lang/names.cc
+++ b/src/lang/names.cc
@@ -7,13 +7,13 @@
 namespace eelgrasspin::lang {
 namespace {
 
-/// Longest names that are compared; longer ones are nobody's typing error.
-constexpr std::size_t kMaxCompared = 64;
-/// Names shorter than this may differ in one edit only.
-constexpr std::size_t kShortName = 4;
+/// Longer names are not compared; they are not typing errors.
+constexpr std::size_t kMaxComparedBytes = 64;
+/// Shorter names may differ from a known name by one edit only.
+constexpr std::size_t kShortNameBytes = 4;
 
 /// Levenshtein distance.
-std::size_t edits_between(std::string_view left, std::string_view right) {
+std::size_t edit_distance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), 0);
   for (std::size_t i = 0; i < left.size(); ++i) {
@@ -39,23 +39,23 @@
 
 std::string nearest(std::string_view name,
                     const std::vector<std::string>& known) {
-  if (name.empty() || name.size() > kMaxCompared) return {};
-  std::string best;
-  std::size_t tolerated = name.size() < kShortName ? 1 : 2;
-  std::size_t best_edits = std::max(tolerated, name.size() / 3) + 1;
+  if (name.empty() || name.size() > kMaxComparedBytes) return {};
+  std::string nearest_name;
+  std::size_t max_edits = name.size() < kShortNameBytes ? 1 : 2;
+  std::size_t best_edits = std::max(max_edits, name.size() / 3) + 1;
   for (const std::string& candidate : known) {
-    std::size_t edits = edits_between(name, candidate);
+    std::size_t edits = edit_distance(name, candidate);
     if (edits >= best_edits) continue;
-    best = candidate;
+    nearest_name = candidate;
     best_edits = edits;
   }
-  return best;
+  return nearest_name;
 }
 
 std::string name_hint(std::string_view name,
                       const std::vector<std::string>& known) {
-  std::string near = nearest(name, known);
-  if (!near.empty()) return "did you mean " + near + "?";
+  std::string suggestion = nearest(name, known);
+  if (!suggestion.empty()) return "did you mean " + suggestion + "?";
   if (known.empty()) return {};
   return "known: " + join(known);
 }
--- a/src/lang/names.h
+++ b/src/lang/names.h
@@ -10,15 +10,16 @@
 
 inline constexpr std::size_t kMaxNameLength = 40;
 
-/// Whether `text` may name a service, server, zone and so on: letters, digits,
-/// '.', '_' and '-', not longer than kMaxNameLength.
+/// Whether `text` is a valid name of a service, server, zone and so on: 1 to
+/// kMaxNameLength letters, digits, '.', '_' and '-'.
 bool is_name(std::string_view text);
 
-/// The known name that is fewest edits away from `name`; empty if none is near.
+/// The known name with the smallest edit distance to `name`; empty if none is
+/// similar enough to be meant.
 std::string nearest(std::string_view name,
                     const std::vector<std::string>& known);
 
-/// "did you mean NAME?" for the nearest known name, else "known: A, B, C".
+/// "did you mean NAME?" with the nearest known name, or else "known: A, B, C".
 std::string name_hint(std::string_view name,
                       const std::vector<std::string>& known);
 
--- a/src/lang/parser.cc
+++ b/src/lang/parser.cc
@@ -9,7 +9,7 @@
 namespace eelgrasspin::lang {
 namespace {
 
-constexpr std::size_t kMaxTextBytes = 4096;
+constexpr std::size_t kMaxCommandBytes = 4096;
 
 template <class T>
 bool parse_whole(const std::string& text, T& out, int base = 10) {
@@ -22,7 +22,7 @@
   switch (token.kind) {
     case TokenKind::kEnd:
       return "the end";
-    case TokenKind::kBad:
+    case TokenKind::kInvalid:
       return token.text;
     case TokenKind::kString:
       return quoted(token.text);
@@ -41,7 +41,7 @@
   return text;
 }
 
-/// The expected keywords, without what is in angle brackets.
+/// The expected keywords, without placeholders.
 std::vector<std::string> keywords_of(const std::vector<std::string>& expected) {
   std::vector<std::string> words;
   for (const std::string& word : expected) {
@@ -54,16 +54,16 @@
 
 Parser::Parser(std::string_view text, std::string file)
     : file_(std::move(file)),
-      tokens_(tokens_of(text.substr(0, kMaxTextBytes))) {
-  if (text.size() <= kMaxTextBytes) return;
+      tokens_(tokenize(text.substr(0, kMaxCommandBytes))) {
+  if (text.size() <= kMaxCommandBytes) return;
   fail("command of " + std::to_string(text.size()) + " bytes",
-       "at most " + std::to_string(kMaxTextBytes));
+       "at most " + std::to_string(kMaxCommandBytes));
 }
 
 Checked<Command> Parser::run() {
   if (!findings_.empty()) return findings_;
   Command read = command();
-  end();
+  expect_end();
   if (!findings_.empty()) return findings_;
   return read;
 }
@@ -73,50 +73,50 @@
 }
 
 Command Parser::command() {
-  if (keyword("show")) return show();
-  if (keyword("owner")) return owner();
-  if (keyword("move")) return move();
-  if (keyword("drain")) return drain();
-  if (keyword("undrain")) {
+  if (accept_keyword("show")) return show();
+  if (accept_keyword("owner")) return owner();
+  if (accept_keyword("move")) return move();
+  if (accept_keyword("drain")) return drain();
+  if (accept_keyword("undrain")) {
     expect_keyword("server");
     return UndrainCommand{ServerName(name("<server>"))};
   }
-  if (keyword("close")) return close();
-  if (keyword("cancel")) {
+  if (accept_keyword("close")) return close();
+  if (accept_keyword("cancel")) {
     CancelClosureCommand cancel;
-    closure_of(cancel.service);
+    closure_service(cancel.service);
     return cancel;
   }
-  if (keyword("report")) {
+  if (accept_keyword("report")) {
     ReportCommand report;
-    closure_of(report.service);
+    closure_service(report.service);
     return report;
   }
-  if (keyword("stop")) {
+  if (accept_keyword("stop")) {
     expect_keyword("daemon");
     return StopDaemonCommand{DaemonName(name("<daemon>"))};
   }
-  if (keyword("fence")) return fence();
-  if (keyword("release")) return release();
+  if (accept_keyword("fence")) return fence();
+  if (accept_keyword("release")) return release();
   fail();
   return {};
 }
 
 Command Parser::show() {
   ShowCommand show;
-  if (keyword("closure")) {
+  if (accept_keyword("closure")) {
     return ShowClosureCommand{ServiceName(name("<service>"))};
   }
   bool found = false;
   for (const std::string& word : subject_words()) {
-    if (found || !keyword(word)) continue;
+    if (found || !accept_keyword(word)) continue;
     show.subject = *subject_of(word);
     found = true;
   }
   if (!found) fail();
-  if (keyword("where")) conditions(show.conditions);
-  if (keyword("since")) show.since = duration();
-  if (keyword("limit")) show.limit = number("<count>");
+  if (accept_keyword("where")) conditions(show.conditions);
+  if (accept_keyword("since")) show.since = duration();
+  if (accept_keyword("limit")) show.limit = number("<count>");
   return show;
 }
 
@@ -133,35 +133,35 @@
     }
     condition.comparison = *comparison;
     advance();
-    condition.value = anything("<value>");
+    condition.value = word_or_string("<value>");
     out.push_back(std::move(condition));
-  } while (findings_.empty() && keyword("and"));
+  } while (findings_.empty() && accept_keyword("and"));
 }
 
 Command Parser::owner() {
   OwnerCommand owner;
   expect_keyword("of");
   owner.service = ServiceName(name("<service>"));
-  owner.key = Key(anything("<key>"));
+  owner.key = Key(word_or_string("<key>"));
   return owner;
 }
 
 Command Parser::move() {
   MoveCommand move;
   move.service = ServiceName(name("<service>"));
-  bool whole_slot = keyword("slot");
+  bool whole_slot = accept_keyword("slot");
   if (whole_slot) {
     move.slot = SlotId(number("<slot number>"));
   } else {
     expect_keyword("key");
-    move.key = Key(anything("<key>"));
+    move.key = Key(word_or_string("<key>"));
     if (findings_.empty() && move.key.empty()) {
-      --at_;
+      --position_;
       fail("an empty key", "<key>");
     }
   }
   expect_keyword("to");
-  if (whole_slot && keyword("zone")) {
+  if (whole_slot && accept_keyword("zone")) {
     move.zone = ZoneName(name("<zone>"));
   } else {
     move.server = ServerName(name("<server>"));
@@ -173,7 +173,7 @@
   DrainCommand drain;
   expect_keyword("server");
   drain.server = ServerName(name("<server>"));
-  if (keyword("within")) drain.within = duration();
+  if (accept_keyword("within")) drain.within = duration();
   return drain;
 }
 
@@ -181,15 +181,15 @@
   CloseCommand close;
   expect_keyword("service");
   close.service = ServiceName(name("<service>"));
-  if (keyword("deadline")) close.deadline = duration();
+  if (accept_keyword("deadline")) close.deadline = duration();
   expect_keyword("reason");
-  close.reason = anything("<text>");
+  close.reason = word_or_string("<text>");
   return close;
 }
 
 Command Parser::fence() {
   FenceCommand fence;
-  if (keyword("zone")) {
+  if (accept_keyword("zone")) {
     fence.zone = ZoneName(name("<zone>"));
   } else {
     expect_keyword("daemon");
@@ -201,27 +201,27 @@
 Command Parser::release() {
   ReleaseCommand release;
   expect_keyword("quarantined");
-  std::string text = anything("<fingerprint>");
+  std::string text = word_or_string("<fingerprint>");
   if (!findings_.empty()) return release;
   constexpr int kHexadecimal = 16;
   if (!parse_whole(text, release.fingerprint, kHexadecimal)) {
-    --at_;
+    --position_;
     fail("expected <fingerprint>, found " + text, "up to 16 hex digits");
   }
   return release;
 }
 
-void Parser::closure_of(ServiceName& service) {
+void Parser::closure_service(ServiceName& service) {
   expect_keyword("closure");
   service = ServiceName(name("<service>"));
 }
 
 void Parser::advance() {
-  ++at_;
+  ++position_;
   expected_.clear();
 }
 
-bool Parser::keyword(const std::string& word) {
+bool Parser::accept_keyword(const std::string& word) {
   if (!findings_.empty()) return false;
   if (token().kind == TokenKind::kWord && token().text == word) {
     advance();
@@ -232,14 +232,14 @@
 }
 
 void Parser::expect_keyword(const std::string& word) {
-  if (!keyword(word)) fail();
+  if (!accept_keyword(word)) fail();
 }
 
-std::string Parser::anything(const std::string& what) {
+std::string Parser::word_or_string(const std::string& placeholder) {
   if (!findings_.empty()) return {};
   const Token& found = token();
   if (found.kind != TokenKind::kWord && found.kind != TokenKind::kString) {
-    expected_.push_back(what);
+    expected_.push_back(placeholder);
     fail();
     return {};
   }
@@ -248,16 +248,16 @@
   return text;
 }
 
-std::string Parser::name(const std::string& what) {
+std::string Parser::name(const std::string& placeholder) {
   if (!findings_.empty()) return {};
   bool named =
       token().kind == TokenKind::kWord || token().kind == TokenKind::kString;
   if (!named || !is_name(token().text)) {
-    expected_.push_back(what);
+    expected_.push_back(placeholder);
     fail();
     return {};
   }
-  return anything(what);
+  return word_or_string(placeholder);
 }
 
 Duration Parser::duration() {
@@ -272,11 +272,11 @@
   return value(read);
 }
 
-std::uint32_t Parser::number(const std::string& what) {
+std::uint32_t Parser::number(const std::string& placeholder) {
   std::uint32_t read = 0;
   if (!findings_.empty()) return read;
   if (token().kind != TokenKind::kWord || !parse_whole(token().text, read)) {
-    expected_.push_back(what);
+    expected_.push_back(placeholder);
     fail();
     return 0;
   }
@@ -284,7 +284,7 @@
   return read;
 }
 
-void Parser::end() {
+void Parser::expect_end() {
   if (!findings_.empty()) return;
   if (token().kind == TokenKind::kEnd) return;
   expected_.push_back("the end");
@@ -293,12 +293,12 @@
 
 void Parser::fail() {
   if (!findings_.empty()) return;
-  std::string near;
+  std::string suggestion;
   if (token().kind == TokenKind::kWord) {
-    near = nearest(token().text, keywords_of(expected_));
+    suggestion = nearest(token().text, keywords_of(expected_));
   }
   fail("expected " + alternatives(expected_) + ", found " + describe(token()),
-       near.empty() ? "" : "did you mean " + near + "?");
+       suggestion.empty() ? "" : "did you mean " + suggestion + "?");
 }
 
 void Parser::fail(std::string message, std::string hint) {
--- a/src/lang/parser.h
+++ b/src/lang/parser.h
@@ -11,18 +11,17 @@
 
 namespace eelgrasspin::lang {
 
-/// Recursive descent over the tokens of one command. What would have been
-/// accepted at the first wrong token is collected for the finding and for
-/// completion.
+/// Recursive descent parser for one command. Collects what would have been
+/// valid at the first invalid token, for the finding and for completion.
 class Parser {
  public:
   Parser(std::string_view text, std::string file);
 
   Checked<Command> run();
-  /// After run(): what could stand at the wrong token, keywords as they are and
-  /// other things in angle brackets.
+  /// After run(): what would have been valid at the first invalid token:
+  /// keywords, and placeholders such as "<service>".
   const std::vector<std::string>& expected() const { return expected_; }
-  /// After run(): whether the first wrong token is the end of the text.
+  /// After run(): whether the first invalid token is the end of the text.
   bool failed_at_end() const;
 
  private:
@@ -36,26 +35,26 @@
   Command release();
 
   void conditions(std::vector<Condition>& out);
-  void closure_of(ServiceName& service);
+  void closure_service(ServiceName& service);
 
-  const Token& token() const { return tokens_[at_]; }
+  const Token& token() const { return tokens_[position_]; }
   void advance();
-  /// Takes the keyword if it is next.
-  bool keyword(const std::string& word);
+  /// Consumes the next token if it is the keyword.
+  bool accept_keyword(const std::string& word);
   void expect_keyword(const std::string& word);
-  /// A word or string, called `what` in findings.
-  std::string anything(const std::string& what);
-  std::string name(const std::string& what);
+  /// Reads a word or string; `placeholder` is its name in findings.
+  std::string word_or_string(const std::string& placeholder);
+  std::string name(const std::string& placeholder);
   Duration duration();
-  std::uint32_t number(const std::string& what);
-  void end();
-  /// Reports the token and what was expected instead.
+  std::uint32_t number(const std::string& placeholder);
+  void expect_end();
+  /// Reports the current token and what was expected instead.
   void fail();
   void fail(std::string message, std::string hint);
 
   std::string file_;
   std::vector<Token> tokens_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::vector<std::string> expected_;
   std::vector<Finding> findings_;
 };
--- a/src/lang/words.cc
+++ b/src/lang/words.cc
@@ -21,8 +21,8 @@
               static_cast<std::size_t>(Comparison::kGreaterOrEqual) + 1);
 
 template <class E, std::size_t N>
-std::optional<E> constant_of(const std::string_view (&words)[N],
-                             std::string_view word) {
+std::optional<E> enumerator_of(const std::string_view (&words)[N],
+                               std::string_view word) {
   const auto* it = std::find(std::begin(words), std::end(words), word);
   if (it == std::end(words)) return std::nullopt;
   return static_cast<E>(it - std::begin(words));
@@ -35,7 +35,7 @@
 }
 
 std::optional<Subject> subject_of(std::string_view word) {
-  return constant_of<Subject>(kSubjects, word);
+  return enumerator_of<Subject>(kSubjects, word);
 }
 
 std::vector<std::string> subject_words() {
@@ -47,7 +47,7 @@
 }
 
 std::optional<Comparison> comparison_of(std::string_view word) {
-  return constant_of<Comparison>(kComparisons, word);
+  return enumerator_of<Comparison>(kComparisons, word);
 }
 
 }  // namespace eelgrasspin::lang
--- a/src/lang/words.h
+++ b/src/lang/words.h
@@ -8,7 +8,7 @@
 
 #include "eelgrasspin/command.h"
 
-/// Words of the language for the constants of commands.
+/// Words of the command language for enumerators.
 namespace eelgrasspin::lang {
 
 std::string_view to_string(Subject subject);
