--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -22,11 +22,11 @@
 inline constexpr Duration kLeaseMargin = milliseconds(100);
 /// A daemon reads its zone's lease from the store itself after this time
 /// without a message from the coordinator.
-inline constexpr Duration kCoordinatorSilence = milliseconds(1000);
+inline constexpr Duration kCoordinatorTimeout = milliseconds(1000);
 inline constexpr Duration kLeaseReadInterval = milliseconds(500);
 /// Extra wait before a daemon of another zone in the region is a candidate for
 /// coordinator of a zone without daemons.
-inline constexpr Duration kForeignCandidateDelay = milliseconds(3000);
+inline constexpr Duration kOtherZoneCandidateDelay = milliseconds(3000);
 /// Delay per rank of the candidates of a zone, so that they do not claim its
 /// lease at once.
 inline constexpr Duration kClaimStagger = milliseconds(50);
@@ -42,20 +42,20 @@
 inline constexpr Duration kDaemonLostAfter = milliseconds(1500);
 /// A front stops renewing grants after this time without contact to the store
 /// or to any other daemon of its roster.
-inline constexpr Duration kLoneFrontAfter = milliseconds(3000);
+inline constexpr Duration kIsolatedFrontTimeout = milliseconds(3000);
 /// A lost front's grants count as lapsed this long after the last member
-/// promised not to answer it: kLoneFrontAfter, the grant term and a margin for
-/// clock rates.
-inline constexpr Duration kLoneFrontProof = milliseconds(5200);
+/// promised not to answer it: kIsolatedFrontTimeout, the grant term and a
+/// margin for clock rates.
+inline constexpr Duration kIsolatedFrontLapseDelay = milliseconds(5200);
 /// Number of roster members with which a daemon exchanges hellos, half on each
 /// side of it in the ring ordered by name.
 inline constexpr std::uint32_t kHelloNeighbours = 4;
 /// Maximum time between two checks of the roster by its coordinator.
-inline constexpr Duration kRosterInterval = milliseconds(100);
+inline constexpr Duration kRosterCheckInterval = milliseconds(100);
 /// A daemon forgets another one after this time without a message from it.
 inline constexpr Duration kPeerRetention = minutes(2);
 /// Number of heartbeat rounds whose send times are kept.
-inline constexpr std::size_t kHeartbeatRounds = 16;
+inline constexpr std::size_t kMaxHeartbeatRounds = 16;
 
 // Grants.
 inline constexpr Duration kGrantTerm = milliseconds(2000);
@@ -70,10 +70,10 @@
 inline constexpr Duration kStoreRetryInterval = milliseconds(250);
 inline constexpr Duration kStoreWatchTimeout = seconds(20);
 /// The store counts as unreachable after this time without an answer.
-inline constexpr Duration kStoreSilence = milliseconds(2500);
+inline constexpr Duration kStoreUnreachableAfter = milliseconds(2500);
 /// Minimum time between two watch calls of a coordinator, unless it has written
 /// to the store itself.
-inline constexpr Duration kWatchPause = milliseconds(250);
+inline constexpr Duration kMinWatchInterval = milliseconds(250);
 /// Interval between full lists by a daemon that receives no relay from a
 /// coordinator.
 inline constexpr Duration kUnrelayedListInterval = seconds(3);
@@ -95,11 +95,11 @@
 /// Time over which a returned server ramps up to its full share of load.
 inline constexpr Duration kColdStartRamp = seconds(30);
 /// Load relative to the mean above which units are moved off a server.
-inline constexpr double kOverloadStart = 1.25;
+inline constexpr double kOverloadStartRatio = 1.25;
 /// Load relative to the mean at which moving units off a server stops.
-inline constexpr double kOverloadStop = 1.10;
+inline constexpr double kOverloadStopRatio = 1.10;
 /// Load relative to the mean below which units are moved to a server.
-inline constexpr double kUnderloadStart = 0.60;
+inline constexpr double kUnderloadRatio = 0.60;
 /// Cost of moving one slot, in units of imbalance().
 inline constexpr double kSlotMoveCost = 0.0005;
 /// Cost of moving one carved-out key, in units of imbalance().
@@ -120,11 +120,11 @@
 /// Maximum share of requests that may be retried, in percent.
 inline constexpr std::uint32_t kRetryBudgetPercent = 10;
 inline constexpr std::uint32_t kMaxAttempts = 4;
-inline constexpr Duration kRetryPause = milliseconds(50);
+inline constexpr Duration kRetryDelay = milliseconds(50);
 /// Retries that a service's retry budget allows at the start, and the maximum
 /// that it accumulates.
-inline constexpr std::uint32_t kRetryBudgetStart = 10;
-inline constexpr std::uint32_t kRetryBudgetMax = 100;
+inline constexpr std::uint32_t kInitialRetryBudget = 10;
+inline constexpr std::uint32_t kMaxRetryBudget = 100;
 /// Maximum number of requests that one entry holds while their keys have no
 /// usable owner.
 inline constexpr std::size_t kMaxHeldRequests = 4096;
@@ -144,7 +144,7 @@
 inline constexpr std::size_t kMaxQuarantineEntries = 1024;
 inline constexpr Duration kIntentRetention = minutes(10);
 inline constexpr Duration kIntentCommitInterval = milliseconds(5);
-inline constexpr std::size_t kIntentSegmentEntries = 512;
+inline constexpr std::size_t kMaxIntentSegmentEntries = 512;
 /// Minimum time between two writes of intent outcomes, which are written in
 /// batches.
 inline constexpr Duration kIntentOutcomeInterval = milliseconds(200);
@@ -152,23 +152,23 @@
 inline constexpr Duration kIntentResendInterval = milliseconds(250);
 /// Number of times that a front sends intent outcomes before it gives up; a
 /// repeat of the request is then answered with the outcome "unknown".
-inline constexpr std::uint32_t kIntentOutcomeTries = 8;
+inline constexpr std::uint32_t kMaxIntentOutcomeSends = 8;
 inline constexpr Duration kIntentExpiryInterval = seconds(10);
 
 // Callers' connections.
 inline constexpr std::size_t kMaxCallerConnections = 4096;
 /// Maximum time between a request's first and last byte.
-inline constexpr Duration kReceiveLimit = seconds(10);
-inline constexpr Duration kIdleConnectionLimit = seconds(75);
+inline constexpr Duration kRequestReceiveTimeout = seconds(10);
+inline constexpr Duration kIdleConnectionTimeout = seconds(75);
 /// Maximum total size of the bodies of open requests.
 inline constexpr std::size_t kMaxHeldBodyBytes = 96 * 1024 * 1024;
 
 // Connections to backend servers.
 inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
 /// An idle connection counts as alive when its last answer is at most this old.
-inline constexpr Duration kVerifiedConnectionAge = milliseconds(100);
+inline constexpr Duration kMaxOnceOnlyReuseAge = milliseconds(100);
 /// An idle connection whose last answer is older than this is not reused.
-inline constexpr Duration kReusableConnectionAge = seconds(2);
+inline constexpr Duration kMaxConnectionReuseAge = seconds(2);
 
 // Streams between daemons.
 inline constexpr Duration kPingInterval = milliseconds(500);
@@ -179,11 +179,11 @@
 inline constexpr Duration kAccountInterval = seconds(5);
 /// After its deadline, a closure skips a zone whose coordinator lease has not
 /// been renewed for this long.
-inline constexpr Duration kZoneSilentAfter = seconds(10);
+inline constexpr Duration kClosureZoneTimeout = seconds(10);
 /// An order whose record the store has not confirmed after this time is
 /// answered as unknown.
-inline constexpr Duration kOrderConfirmLimit = seconds(4);
-inline constexpr Duration kFanOutLimit = milliseconds(1500);
+inline constexpr Duration kOrderConfirmTimeout = seconds(4);
+inline constexpr Duration kFanOutTimeout = milliseconds(1500);
 /// Maximum number of finished commands kept in the store.
 inline constexpr std::size_t kMaxFinishedCommands = 256;
 inline constexpr std::size_t kMaxTimelineEvents = 4096;
--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -70,7 +70,7 @@
   std::uint64_t round = 0;      ///< Echoed by the coordinator.
   Version cache_revision;       ///< Its cache is complete up to here.
   bool stopping = false;        ///< Its roles are to be given to others.
-  bool hears_store = false;
+  bool reaches_store = false;
   /// Lost members of its roster, none of which it answers any more.
   std::vector<DaemonName> silent;
   std::vector<FrontReport> fronts;
--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -37,7 +37,7 @@
   Endpoint address;
   Incarnation incarnation;
   /// It has confirmed a roster with other members, so its fronts stop when they
-  /// are isolated for config::kLoneFrontAfter.
+  /// are isolated for config::kIsolatedFrontTimeout.
   bool acknowledged = false;
 
   bool operator==(const RosterMember&) const = default;
@@ -303,8 +303,8 @@
   std::uint64_t write_id = 0;
   std::map<ZoneName, ClosureStep>
       zones;  ///< Step of each zone when `step` was written.
-  std::vector<ZoneName> not_heard;  ///< Zones skipped because they did not
-                                    ///< answer by the deadline.
+  std::vector<ZoneName> not_reported;  ///< Zones skipped because they did not
+                                       ///< answer by the deadline.
   std::map<std::string, std::string>
       part_hashes;   ///< Once sealed: XXH3 128-bit hash in hex, by part name.
   std::string seal;  ///< Once sealed: hash of the whole report.
--- a/include/eelgrasspin/request.h
+++ b/include/eelgrasspin/request.h
@@ -59,7 +59,7 @@
 /// The request was sent, but no complete answer was received.
 struct AttemptUnknown {
   Reason reason = Reason::kNone;
-  bool connection_died =
+  bool connection_closed =
       false;  ///< The server closed or reset the connection before it answered.
 };
 
--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -40,11 +40,11 @@
           capacity == nullptr ? 0 : capacity->to_number<std::uint32_t>()};
 }
 
-json::array server_incarnation_array(const fleet::ServerLife& server) {
+json::array server_incarnation_array(const fleet::ServerIncarnation& server) {
   return {server.name.str(), server.incarnation.value};
 }
 
-fleet::ServerLife server_incarnation_of(const json::value& value) {
+fleet::ServerIncarnation server_incarnation_of(const json::value& value) {
   const json::array& parts = value.as_array();
   return {ServerName(view_of(parts.at(0))), Incarnation(number(parts.at(1)))};
 }
@@ -58,28 +58,29 @@
 }
 
 json::array service_reports_array(const fleet::Heartbeat& heartbeat) {
-  json::array heats;
-  for (const auto& report : heartbeat.heats) {
+  json::array key_load_reports;
+  for (const auto& report : heartbeat.key_load_reports) {
     json::array keys;
-    for (const fleet::KeyHeat& key : report.keys) {
+    for (const fleet::KeyLoad& key : report.keys) {
       keys.push_back(key.key.value);
       keys.push_back(hundredths(key.weight));
     }
-    json::array speeds;
-    for (const auto& speed : report.speeds) {
-      speeds.push_back(json::array{speed.server.str(),
-                                   hundredths(speed.answers),
-                                   to_ms(speed.service_time)});
+    json::array service_times;
+    for (const auto& speed : report.service_times) {
+      service_times.push_back(json::array{speed.server.str(),
+                                          hundredths(speed.answer_count),
+                                          to_ms(speed.service_time)});
     }
-    heats.push_back(
-        json::array{report.service.str(), std::move(keys), std::move(speeds)});
+    key_load_reports.push_back(json::array{
+        report.service.str(), std::move(keys), std::move(service_times)});
   }
   return key_load_reports;
 }
 
-fleet::Heartbeat::Heat service_report_of(const json::value& value) {
+fleet::Heartbeat::KeyLoadReport service_report_of(const json::value& value) {
   const json::array& parts = value.as_array();
-  fleet::Heartbeat::Heat report{ServiceName(view_of(parts.at(0))), {}, {}};
+  fleet::Heartbeat::KeyLoadReport report{
+      ServiceName(view_of(parts.at(0))), {}, {}};
   const json::array& keys = parts.at(1).as_array();
   for (std::size_t i = 0; i + 1 < keys.size(); i += 2) {
     report.keys.push_back({ShardKey(keys[i].to_number<std::uint32_t>()),
@@ -87,9 +88,9 @@
   }
   for (const json::value& speed : parts.at(2).as_array()) {
     const json::array& fields = speed.as_array();
-    report.speeds.push_back({ServerName(view_of(fields.at(0))),
-                             from_hundredths(fields.at(1)),
-                             milliseconds(number(fields.at(2)))});
+    report.service_times.push_back({ServerName(view_of(fields.at(0))),
+                                    from_hundredths(fields.at(1)),
+                                    milliseconds(number(fields.at(2)))});
   }
   return report;
 }
@@ -110,7 +111,7 @@
   }
   heartbeat.stopping = object.if_contains("stopping") != nullptr;
   if (const json::value* silence = object.if_contains("store_silent_ms")) {
-    heartbeat.store_silence = milliseconds(number(*silence));
+    heartbeat.store_unreachable_for = milliseconds(number(*silence));
   }
   for (const json::value& value : object.at("terms").as_array()) {
     const json::array& parts = value.as_array();
@@ -129,9 +130,9 @@
                                             Version(number(parts.at(1))),
                                             milliseconds(number(parts.at(2)))};
   }
-  if (const json::value* heats = object.if_contains("heats")) {
-    for (const json::value& value : heats->as_array()) {
-      heartbeat.heats.push_back(service_report_of(value));
+  if (const json::value* key_load_reports = object.if_contains("heats")) {
+    for (const json::value& value : key_load_reports->as_array()) {
+      heartbeat.key_load_reports.push_back(service_report_of(value));
     }
   }
   if (const json::value* strikes = object.if_contains("strikes")) {
@@ -152,7 +153,7 @@
                         Epoch(number(parts.at(3))),
                         {}};
   for (const json::value& predecessor : parts.at(4).as_array()) {
-    range.previous.push_back(server_incarnation_of(predecessor));
+    range.previous_owners.push_back(server_incarnation_of(predecessor));
   }
   return range;
 }
@@ -160,13 +161,14 @@
 json::array ranges_array(const std::vector<fleet::KeyRange>& list) {
   json::array ranges;
   for (const fleet::KeyRange& range : list) {
-    json::array previous;
-    for (const fleet::ServerLife& predecessor : range.previous) {
-      previous.push_back(server_incarnation_array(predecessor));
+    json::array previous_owners;
+    for (const fleet::ServerIncarnation& predecessor : range.previous_owners) {
+      previous_owners.push_back(server_incarnation_array(predecessor));
     }
     ranges.push_back(json::array{range.first.value, range.last.value,
                                  server_incarnation_array(range.owner),
-                                 range.epoch.value, std::move(previous)});
+                                 range.epoch.value,
+                                 std::move(previous_owners)});
   }
   return ranges;
 }
@@ -245,7 +247,7 @@
   if (heartbeat.store_unreachable_for.count() > 0) {
     object["store_silent_ms"] = to_ms(heartbeat.store_unreachable_for);
   }
-  if (!heartbeat.heats.empty())
+  if (!heartbeat.key_load_reports.empty())
     object["heats"] = service_reports_array(heartbeat);
   if (!heartbeat.strikes.empty()) {
     json::array strikes;
@@ -264,8 +266,8 @@
   return object;
 }
 
-fleet::HeartbeatBundle heartbeat_batch_of(const json::object& object) {
-  fleet::HeartbeatBundle bundle;
+fleet::HeartbeatBatch heartbeat_batch_of(const json::object& object) {
+  fleet::HeartbeatBatch bundle;
   bundle.relay = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
--- a/src/codec/store_update_json.cc
+++ b/src/codec/store_update_json.cc
@@ -29,7 +29,7 @@
   server.slots = object.at("slots").to_number<std::uint32_t>();
   server.incarnation = Incarnation(number(object.at("incarnation")));
   server.draining = object.at("draining").as_bool();
-  server.cold_left = milliseconds(number(object.at("cold_ms")));
+  server.warm_up_left = milliseconds(number(object.at("cold_ms")));
   if (server.slots == 0) throw std::runtime_error("server has no slots");
   return server;
 }
