--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -57,7 +57,7 @@
   return static_cast<double>(number(value)) / 100;
 }
 
-json::array service_reports_array(const fleet::Heartbeat& heartbeat) {
+json::array key_load_reports_array(const fleet::Heartbeat& heartbeat) {
   json::array key_load_reports;
   for (const auto& report : heartbeat.key_load_reports) {
     json::array keys;
@@ -66,10 +66,10 @@
       keys.push_back(hundredths(key.weight));
     }
     json::array service_times;
-    for (const auto& speed : report.service_times) {
-      service_times.push_back(json::array{speed.server.str(),
-                                          hundredths(speed.answer_count),
-                                          to_ms(speed.service_time)});
+    for (const auto& entry : report.service_times) {
+      service_times.push_back(json::array{entry.server.str(),
+                                          hundredths(entry.answer_count),
+                                          to_ms(entry.service_time)});
     }
     key_load_reports.push_back(json::array{
         report.service.str(), std::move(keys), std::move(service_times)});
@@ -77,7 +77,7 @@
   return key_load_reports;
 }
 
-fleet::Heartbeat::KeyLoadReport service_report_of(const json::value& value) {
+fleet::Heartbeat::KeyLoadReport key_load_report_of(const json::value& value) {
   const json::array& parts = value.as_array();
   fleet::Heartbeat::KeyLoadReport report{
       ServiceName(view_of(parts.at(0))), {}, {}};
@@ -86,8 +86,8 @@
     report.keys.push_back({ShardKey(keys[i].to_number<std::uint32_t>()),
                            from_hundredths(keys[i + 1])});
   }
-  for (const json::value& speed : parts.at(2).as_array()) {
-    const json::array& fields = speed.as_array();
+  for (const json::value& entry : parts.at(2).as_array()) {
+    const json::array& fields = entry.as_array();
     report.service_times.push_back({ServerName(view_of(fields.at(0))),
                                     from_hundredths(fields.at(1)),
                                     milliseconds(number(fields.at(2)))});
@@ -132,7 +132,7 @@
   }
   if (const json::value* key_load_reports = object.if_contains("heats")) {
     for (const json::value& value : key_load_reports->as_array()) {
-      heartbeat.key_load_reports.push_back(service_report_of(value));
+      heartbeat.key_load_reports.push_back(key_load_report_of(value));
     }
   }
   if (const json::value* strikes = object.if_contains("strikes")) {
@@ -152,8 +152,8 @@
                         server_incarnation_of(parts.at(2)),
                         Epoch(number(parts.at(3))),
                         {}};
-  for (const json::value& predecessor : parts.at(4).as_array()) {
-    range.previous_owners.push_back(server_incarnation_of(predecessor));
+  for (const json::value& previous_owner : parts.at(4).as_array()) {
+    range.previous_owners.push_back(server_incarnation_of(previous_owner));
   }
   return range;
 }
@@ -162,8 +162,9 @@
   json::array ranges;
   for (const fleet::KeyRange& range : list) {
     json::array previous_owners;
-    for (const fleet::ServerIncarnation& predecessor : range.previous_owners) {
-      previous_owners.push_back(server_incarnation_array(predecessor));
+    for (const fleet::ServerIncarnation& previous_owner :
+         range.previous_owners) {
+      previous_owners.push_back(server_incarnation_array(previous_owner));
     }
     ranges.push_back(json::array{range.first.value, range.last.value,
                                  server_incarnation_array(range.owner),
@@ -248,7 +249,7 @@
     object["store_silent_ms"] = to_ms(heartbeat.store_unreachable_for);
   }
   if (!heartbeat.key_load_reports.empty())
-    object["heats"] = service_reports_array(heartbeat);
+    object["heats"] = key_load_reports_array(heartbeat);
   if (!heartbeat.strikes.empty()) {
     json::array strikes;
     for (const fleet::Strike& strike : heartbeat.strikes) {
--- a/src/config/check_change.cc
+++ b/src/config/check_change.cc
@@ -14,23 +14,23 @@
            "name = " + before.deployment);
   }
   if (after.schema < before.schema) {
-    report("schema goes back from " + std::to_string(before.schema) + " to " +
+    report("schema regresses from " + std::to_string(before.schema) + " to " +
                std::to_string(after.schema),
            "schema = " + std::to_string(before.schema));
   }
   for (const auto& [name, old_service] : before.services) {
-    auto found = after.services.find(name);
-    if (found == after.services.end()) continue;
-    if (found->second.key_slots == old_service.key_slots) continue;
+    auto after_entry = after.services.find(name);
+    if (after_entry == after.services.end()) continue;
+    if (after_entry->second.key_slots == old_service.key_slots) continue;
     report("service " + name.str() + ": key_slots cannot change from " +
                std::to_string(old_service.key_slots),
            "another service name");
   }
   for (const auto& [name, old_server] : before.servers) {
-    auto found = after.servers.find(name);
-    if (found == after.servers.end()) continue;
-    if (found->second.service == old_server.service &&
-        found->second.zone == old_server.zone) {
+    auto after_entry = after.servers.find(name);
+    if (after_entry == after.servers.end()) continue;
+    if (after_entry->second.service == old_server.service &&
+        after_entry->second.zone == old_server.zone) {
       continue;
     }
     report("server " + name.str() + " cannot change from service " +
--- a/src/config/declarations.cc
+++ b/src/config/declarations.cc
@@ -22,9 +22,9 @@
   return names;
 }
 
-/// Whether a pattern starts with '/' and has exactly one segment {key} and no
-/// other braces.
-bool is_pattern(const std::string& path) {
+/// Whether `path` starts with '/' and has exactly one segment {key}, no other
+/// braces, no query, no fragment and no space.
+bool is_valid_path_pattern(const std::string& path) {
   if (!path.starts_with('/')) return false;
   std::size_t keys = 0;
   std::istringstream segments(path.substr(1));
@@ -39,10 +39,11 @@
   return keys == 1;
 }
 
-/// Collects the sections of one text and checks them against each other.
-class Builder {
+/// Reads the sections of one text and checks them against each other.
+class DeclarationsReader {
  public:
-  Builder(std::string_view text, const std::string& file) : file_(file) {
+  DeclarationsReader(std::string_view text, const std::string& file)
+      : file_(file) {
     out_.source = std::string(text);
     ini_ = read_ini(text, file);
     findings_ = ini_.findings;
@@ -77,20 +78,22 @@
     std::string word;
     while (words >> word) title.push_back(word);
     std::string kind = title.empty() ? "" : title[0];
-    std::size_t names = kind == "deployment" ? 0 : kind == "operation" ? 2 : 1;
+    std::size_t name_count = kind == "deployment"  ? 0
+                             : kind == "operation" ? 2
+                                                   : 1;
     static const std::vector<std::string> kKinds = {
         "deployment", "region", "zone", "service", "operation", "server"};
     if (std::count(kKinds.begin(), kKinds.end(), kind) == 0) {
       return report(section.line, "unknown section [" + section.title + "]",
                     lang::name_hint(kind, kKinds));
     }
-    if (title.size() != names + 1) {
+    if (title.size() != name_count + 1) {
       return report(section.line,
                     "[" + section.title + "] has " +
                         std::to_string(title.size() - 1) + " names",
-                    names == 0   ? "[deployment]"
-                    : names == 1 ? "[" + kind + " NAME]"
-                                 : "[operation SERVICE NAME]");
+                    name_count == 0   ? "[deployment]"
+                    : name_count == 1 ? "[" + kind + " NAME]"
+                                      : "[operation SERVICE NAME]");
     }
     if (!std::all_of(title.begin() + 1, title.end(), lang::is_name)) {
       return report(section.line, "[" + section.title + "]: not a name",
@@ -106,31 +109,31 @@
 
   void read_values(const IniSection& section,
                    const std::vector<std::string>& title) {
-    Values values(section, file_, findings_);
+    ValueReader reader(section, file_, findings_);
     const std::string& kind = title[0];
     if (kind == "deployment") {
-      read_deployment(values, out_);
+      read_deployment(reader, out_);
     } else if (kind == "region") {
-      read_region(values);
+      read_region(reader);
       regions_.insert(RegionName(title[1]));
     } else if (kind == "zone") {
       ZoneDeclaration& zone = out_.zones[ZoneName(title[1])];
       zone.name = ZoneName(title[1]);
-      read_zone(values, zone);
+      read_zone(reader, zone);
     } else if (kind == "service") {
       ServiceDeclaration& service = out_.services[ServiceName(title[1])];
       service.name = ServiceName(title[1]);
-      read_service(values, service);
+      read_service(reader, service);
     } else if (kind == "operation") {
       PendingOperation pending{ServiceName(title[1]), {title[2]}, section.line};
-      read_operation(values, pending.operation);
+      read_operation(reader, pending.operation);
       operations_.push_back(std::move(pending));
     } else {
       ServerDeclaration& server = out_.servers[ServerName(title[1])];
       server.name = ServerName(title[1]);
-      read_server(values, server);
+      read_server(reader, server);
     }
-    values.finish();
+    reader.finish();
   }
 
   void check_zones() {
@@ -145,25 +148,26 @@
   }
 
   void check_operations() {
-    std::map<std::string, std::string> taken;
+    std::map<std::string, std::string> names_by_route;
     for (PendingOperation& pending : operations_) {
       const Operation& operation = pending.operation;
-      std::string who =
+      std::string label =
           "operation " + pending.service.str() + " " + operation.name;
-      if (!operation.path.empty() && !is_pattern(operation.path)) {
-        report(pending.line, who + ": path " + operation.path,
+      if (!operation.path.empty() && !is_valid_path_pattern(operation.path)) {
+        report(pending.line, label + ": path " + operation.path,
                "starts with '/' and has exactly one segment {key}");
       }
       std::string route =
           pending.service.str() + " " + operation.method + " " + operation.path;
-      auto [first, added] = taken.emplace(route, operation.name);
+      auto [first, added] = names_by_route.emplace(route, operation.name);
       if (!added && !operation.path.empty()) {
-        report(pending.line, who + ": same method and path as " + first->second,
+        report(pending.line,
+               label + ": same method and path as " + first->second,
                "one operation for each");
       }
       auto service = out_.services.find(pending.service);
       if (service == out_.services.end()) {
-        report(pending.line, who + ": no service " + pending.service.str(),
+        report(pending.line, label + ": no service " + pending.service.str(),
                lang::name_hint(pending.service.str(), names_of(out_.services)));
       } else {
         service->second.operations.push_back(operation);
@@ -175,21 +179,21 @@
     if (out_.services.empty()) report(0, "no service", "[service NAME]");
     for (const auto& [name, service] : out_.services) {
       int line = line_of("service", name.str());
-      std::string who = "service " + name.str();
+      std::string label = "service " + name.str();
       if (!std::has_single_bit(service.key_slots)) {
-        report(line, who + ": key_slots is not a power of two",
+        report(line, label + ": key_slots is not a power of two",
                "such as " + std::to_string(std::bit_ceil(service.key_slots)));
       }
       if (service.operations.empty()) {
-        report(line, who + " has no operation",
+        report(line, label + " has no operation",
                "[operation " + name.str() + " NAME]");
       }
-      bool served = false;
+      bool has_server = false;
       for (const auto& [server_name, server] : out_.servers) {
-        served = served || server.service == name;
+        has_server = has_server || server.service == name;
       }
-      if (!served) {
-        report(line, who + " has no server", "[server NAME]");
+      if (!has_server) {
+        report(line, label + " has no server", "[server NAME]");
       }
     }
   }
@@ -198,20 +202,20 @@
     std::map<Endpoint, ServerName> addresses;
     for (const auto& [name, server] : out_.servers) {
       int line = line_of("server", name.str());
-      std::string who = "server " + name.str();
+      std::string label = "server " + name.str();
       if (!server.service.empty() && !out_.services.contains(server.service)) {
-        report(line, who + ": no service " + server.service.str(),
+        report(line, label + ": no service " + server.service.str(),
                lang::name_hint(server.service.str(), names_of(out_.services)));
       }
       if (!server.zone.empty() && !out_.zones.contains(server.zone)) {
-        report(line, who + ": no zone " + server.zone.str(),
+        report(line, label + ": no zone " + server.zone.str(),
                lang::name_hint(server.zone.str(), names_of(out_.zones)));
       }
       if (server.address.empty()) continue;
       auto [first, added] = addresses.emplace(server.address, name);
       if (!added) {
         report(line,
-               who + ": address " + server.address.str() + " is that of " +
+               label + ": address " + server.address.str() + " is that of " +
                    first->second.str(),
                "an address of its own");
       }
@@ -240,7 +244,7 @@
 
 Checked<Declarations> read_declarations(std::string_view text,
                                         const std::string& file) {
-  return Builder(text, file).build();
+  return DeclarationsReader(text, file).build();
 }
 
 }  // namespace eelgrasspin::config
--- a/src/config/declarations_fields.h
+++ b/src/config/declarations_fields.h
@@ -4,16 +4,17 @@
 #include "config/values.h"
 #include "eelgrasspin/declarations.h"
 
-/// The values of each kind of section of the declarations.
+/// Reads the values of each kind of section of the declarations.
 namespace eelgrasspin::config {
 
-/// Declarations of this schema are read; newer ones are refused.
-inline constexpr std::uint32_t kSchema = 1;
+/// The supported schema version; declarations with another one are rejected.
+inline constexpr std::uint32_t kSchemaVersion = 1;
 
 const Choices<IsolationPolicy>& isolation_choices();
 const Choices<StoreDownPolicy>& store_down_choices();
 const Choices<ExecutionClass>& execution_class_choices();
 
+/// The word of `constant` in `choices`; empty if it has none.
 template <class E>
 std::string word_of(const Choices<E>& choices, E constant) {
   for (const auto& [word, candidate] : choices) {
@@ -22,12 +23,12 @@
   return {};
 }
 
-void read_deployment(Values& values, Declarations& out);
-void read_region(Values& values);
-void read_zone(Values& values, ZoneDeclaration& out);
-void read_service(Values& values, ServiceDeclaration& out);
-void read_operation(Values& values, Operation& out);
-void read_server(Values& values, ServerDeclaration& out);
+void read_deployment(ValueReader& reader, Declarations& out);
+void read_region(ValueReader& reader);
+void read_zone(ValueReader& reader, ZoneDeclaration& out);
+void read_service(ValueReader& reader, ServiceDeclaration& out);
+void read_operation(ValueReader& reader, Operation& out);
+void read_server(ValueReader& reader, ServerDeclaration& out);
 
 }  // namespace eelgrasspin::config
 
--- a/src/config/ini.cc
+++ b/src/config/ini.cc
@@ -7,7 +7,7 @@
 namespace eelgrasspin::config {
 namespace {
 
-/// inih copies names of values into buffers of 50 bytes.
+/// inih truncates longer names: it copies them into buffers of 50 bytes.
 constexpr std::size_t kMaxNameBytes = 49;
 constexpr std::string_view kSpaces = " \t\r\n\v\f";
 
@@ -22,47 +22,51 @@
   return trimmed.starts_with(';') || trimmed.starts_with('#');
 }
 
-/// Hands the text to inih line by line, and so knows the line of each value.
-/// Headings of sections are read here, because inih reports no empty section.
+/// Passes the text to inih line by line, in order to know the line of each
+/// value. Section headings are parsed here, because inih does not report empty
+/// sections.
 class LineSource {
  public:
   LineSource(std::string_view text, const std::string& file, IniText& out)
-      : rest_(text), file_(file), out_(out) {}
+      : remaining_(text), file_(file), out_(out) {}
 
-  /// fgets() as inih expects it.
+  /// Reader callback of inih, with the contract of fgets().
   static char* next(char* buffer, int capacity, void* self) {
     return static_cast<LineSource*>(self)->next_line(
         buffer, static_cast<std::size_t>(capacity));
   }
 
+  /// Value callback of inih.
   static int handle(void* self, const char*, const char* name,
                     const char* value) {
     static_cast<LineSource*>(self)->add_value(name, value);
     return 1;
   }
 
-  /// Reports the last line if inih could not read it.
-  void finish() { check_value_taken(); }
+  /// Reports the last line if inih could not parse it.
+  void finish() { report_unparsed_value(); }
 
  private:
   char* next_line(char* buffer, std::size_t capacity) {
-    check_value_taken();
-    if (rest_.empty()) return nullptr;
-    std::size_t end = rest_.find('\n');
-    std::string_view line = trim(rest_.substr(0, end));
-    rest_ = end == std::string_view::npos ? std::string_view()
-                                          : rest_.substr(end + 1);
+    report_unparsed_value();
+    if (remaining_.empty()) return nullptr;
+    std::size_t end = remaining_.find('\n');
+    std::string_view line = trim(remaining_.substr(0, end));
+    remaining_ = end == std::string_view::npos ? std::string_view()
+                                               : remaining_.substr(end + 1);
     ++line_;
     if (line_ == 1 && line.starts_with("\xEF\xBB\xBF")) line.remove_prefix(3);
-    // Blank lines keep inih's own count of lines right.
-    std::string_view given = usable(line, capacity) ? line : "";
-    std::memcpy(buffer, given.data(), given.size());
-    buffer[given.size()] = '\0';
+    // Lines that inih is not to see become blank, so that its line count stays
+    // correct.
+    std::string_view visible_line = is_value_line(line, capacity) ? line : "";
+    std::memcpy(buffer, visible_line.data(), visible_line.size());
+    buffer[visible_line.size()] = '\0';
     return buffer;
   }
 
-  /// Whether inih is to see the line as a value.
-  bool usable(std::string_view line, std::size_t capacity) {
+  /// Whether inih is to parse the line as a value. Handles section headings and
+  /// reports invalid lines.
+  bool is_value_line(std::string_view line, std::size_t capacity) {
     if (line.empty() || is_comment(line)) return false;
     if (line.find('\0') != std::string_view::npos) {
       report("a zero byte", "plain text");
@@ -84,7 +88,7 @@
              "at most " + std::to_string(kMaxNameBytes) + " bytes");
       return false;
     }
-    value_due_ = true;
+    value_expected_ = true;
     return true;
   }
 
@@ -102,16 +106,16 @@
   }
 
   void add_value(const char* name, const char* value) {
-    value_due_ = false;
+    value_expected_ = false;
     if (out_.sections.empty()) {
       return report("value before any section", "[section] first");
     }
     out_.sections.back().values.push_back({name, value, line_});
   }
 
-  void check_value_taken() {
-    if (value_due_) report("not a value", "name = value");
-    value_due_ = false;
+  void report_unparsed_value() {
+    if (value_expected_) report("not a value", "name = value");
+    value_expected_ = false;
   }
 
   void report(std::string message, std::string hint) {
@@ -119,11 +123,11 @@
         {file_, line_, 0, std::move(message), std::move(hint)});
   }
 
-  std::string_view rest_;
+  std::string_view remaining_;
   const std::string& file_;
   IniText& out_;
   int line_ = 0;
-  bool value_due_ = false;
+  bool value_expected_ = false;
 };
 
 }  // namespace
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -7,7 +7,8 @@
 
 #include "eelgrasspin/result.h"
 
-/// INI text with the line of each section and value, read by inih.
+/// Reads INI text by means of inih and keeps the line of each section and
+/// value.
 namespace eelgrasspin::config {
 
 struct IniValue {
@@ -17,14 +18,14 @@
 };
 
 struct IniSection {
-  std::string title;  ///< Between the brackets, without outer spaces.
+  std::string title;  ///< Text between the brackets, trimmed.
   int line = 0;
   std::vector<IniValue> values;
 };
 
 struct IniText {
   std::vector<IniSection> sections;
-  std::vector<Finding> findings;  ///< Lines that are not INI.
+  std::vector<Finding> findings;  ///< Lines that are not valid INI.
 };
 
 IniText read_ini(std::string_view text, const std::string& file);
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -10,7 +10,7 @@
 namespace eelgrasspin::config {
 namespace {
 
-constexpr std::size_t kLeastTokenBytes = 8;
+constexpr std::size_t kMinTokenBytes = 8;
 
 const std::vector<std::string>& section_names() {
   static const std::vector<std::string> kNames = {"daemon", "platform",
@@ -18,38 +18,39 @@
   return kNames;
 }
 
-void read_daemon(Values& values, Settings& out) {
-  values.name("name", out.name, Presence::kRequired);
-  values.name("zone", out.zone, Presence::kRequired);
-  values.name("region", out.region, Presence::kRequired);
-  values.endpoint("callers", out.callers, Presence::kRequired);
-  values.endpoint("peers", out.peers, Presence::kRequired);
-  values.endpoint("operators", out.operators, Presence::kRequired);
-  values.endpoints("seeds", out.seeds);
+void read_daemon(ValueReader& reader, Settings& out) {
+  reader.name("name", out.name, Presence::kRequired);
+  reader.name("zone", out.zone, Presence::kRequired);
+  reader.name("region", out.region, Presence::kRequired);
+  reader.endpoint("callers", out.callers, Presence::kRequired);
+  reader.endpoint("peers", out.peers, Presence::kRequired);
+  reader.endpoint("operators", out.operators, Presence::kRequired);
+  reader.endpoints("seeds", out.seeds);
 }
 
-void read_platform(Values& values, Settings& out) {
-  values.endpoint("store", out.store, Presence::kRequired);
-  values.endpoint("vms", out.vm_list, Presence::kRequired);
+void read_platform(ValueReader& reader, Settings& out) {
+  reader.endpoint("store", out.store, Presence::kRequired);
+  reader.endpoint("vms", out.vm_list, Presence::kRequired);
 }
 
-void read_log(Values& values, Settings& out) {
+void read_log(ValueReader& reader, Settings& out) {
   static const Choices<std::string> kLevels = {{"debug", "debug"},
                                                {"info", "info"},
                                                {"warning", "warning"},
                                                {"error", "error"}};
-  values.choice("level", out.log_level, kLevels, Presence::kRequired);
+  reader.choice("level", out.log_level, kLevels, Presence::kRequired);
 }
 
-class Builder {
+/// Reads the sections of one text into Settings.
+class SettingsReader {
  public:
-  Builder(std::string_view text, const std::string& file)
+  SettingsReader(std::string_view text, const std::string& file)
       : file_(file), ini_(read_ini(text, file)), findings_(ini_.findings) {}
 
   Checked<Settings> build() {
     for (const IniSection& section : ini_.sections) read_section(section);
     for (const char* required : {"daemon", "platform", "operators"}) {
-      if (!seen_.contains(required)) {
+      if (!seen_sections_.contains(required)) {
         report(0, "no [" + std::string(required) + "] section", "");
       }
     }
@@ -67,32 +68,32 @@
       return report(section.line, "unknown section [" + section.title + "]",
                     lang::name_hint(section.title, names));
     }
-    if (!seen_.insert(section.title).second) {
+    if (!seen_sections_.insert(section.title).second) {
       return report(section.line, "[" + section.title + "] is given twice",
                     "keep one");
     }
     if (section.title == "operators") return read_operators(section);
-    Values values(section, file_, findings_);
+    ValueReader reader(section, file_, findings_);
     if (section.title == "daemon") {
-      read_daemon(values, out_);
-      check_ports(values);
+      read_daemon(reader, out_);
+      check_ports(reader);
     } else if (section.title == "platform") {
-      read_platform(values, out_);
+      read_platform(reader, out_);
     } else {
-      read_log(values, out_);
+      read_log(reader, out_);
     }
-    values.finish();
+    reader.finish();
   }
 
-  void check_ports(const Values& values) {
-    std::set<Endpoint> taken;
+  void check_ports(const ValueReader& reader) {
+    std::set<Endpoint> seen_endpoints;
     const std::pair<const char*, Endpoint> ports[] = {
         {"callers", out_.callers},
         {"peers", out_.peers},
         {"operators", out_.operators}};
     for (const auto& [name, endpoint] : ports) {
-      if (endpoint.empty() || taken.insert(endpoint).second) continue;
-      report(values.line_of(name),
+      if (endpoint.empty() || seen_endpoints.insert(endpoint).second) continue;
+      report(reader.line_of(name),
              std::string(name) + " = " + endpoint.str() + " is taken",
              "a port of its own");
     }
@@ -103,9 +104,9 @@
       if (!lang::is_name(value.name)) {
         report(value.line, value.name + ": not a name",
                "letters, digits, '.', '_' and '-'");
-      } else if (value.value.size() < kLeastTokenBytes) {
+      } else if (value.value.size() < kMinTokenBytes) {
         report(value.line, "token of " + value.name + " is too short",
-               "at least " + std::to_string(kLeastTokenBytes) + " bytes");
+               "at least " + std::to_string(kMinTokenBytes) + " bytes");
       } else if (!out_.tokens.emplace(OperatorName(value.name), value.value)
                       .second) {
         report(value.line, value.name + " is given twice", "keep one");
@@ -124,18 +125,18 @@
   IniText ini_;
   std::vector<Finding> findings_;
   Settings out_;
-  std::set<std::string> seen_;
+  std::set<std::string> seen_sections_;
 };
 
-/// Names that `read` asks for, each after its section.
+/// Appends the names that `read` asks for, each as "section name".
 template <class Read>
-void add_known(const std::string& section, Read read,
-               std::vector<std::string>& out) {
+void add_known_keys(const std::string& section, Read read,
+                    std::vector<std::string>& out) {
   static const IniSection kEmpty;
   std::vector<Finding> ignored;
-  Values values(kEmpty, section, ignored);
-  read(values);
-  for (const std::string& name : values.known()) {
+  ValueReader reader(kEmpty, section, ignored);
+  read(reader);
+  for (const std::string& name : reader.known_names()) {
     std::string key = section;
     key += " ";
     key += name;
@@ -148,33 +149,34 @@
 std::vector<std::string> known_keys() {
   std::vector<std::string> keys;
   Settings settings;
-  add_known(
-      "daemon", [&](Values& v) { read_daemon(v, settings); }, keys);
-  add_known(
-      "platform", [&](Values& v) { read_platform(v, settings); }, keys);
-  add_known(
-      "log", [&](Values& v) { read_log(v, settings); }, keys);
-  Declarations all;
+  add_known_keys(
+      "daemon", [&](ValueReader& v) { read_daemon(v, settings); }, keys);
+  add_known_keys(
+      "platform", [&](ValueReader& v) { read_platform(v, settings); }, keys);
+  add_known_keys(
+      "log", [&](ValueReader& v) { read_log(v, settings); }, keys);
+  Declarations declarations;
   ZoneDeclaration zone;
   ServiceDeclaration service;
   Operation operation;
   ServerDeclaration server;
-  add_known(
-      "deployment", [&](Values& v) { read_deployment(v, all); }, keys);
-  add_known(
-      "zone", [&](Values& v) { read_zone(v, zone); }, keys);
-  add_known(
-      "service", [&](Values& v) { read_service(v, service); }, keys);
-  add_known(
-      "operation", [&](Values& v) { read_operation(v, operation); }, keys);
-  add_known(
-      "server", [&](Values& v) { read_server(v, server); }, keys);
+  add_known_keys(
+      "deployment", [&](ValueReader& v) { read_deployment(v, declarations); },
+      keys);
+  add_known_keys(
+      "zone", [&](ValueReader& v) { read_zone(v, zone); }, keys);
+  add_known_keys(
+      "service", [&](ValueReader& v) { read_service(v, service); }, keys);
+  add_known_keys(
+      "operation", [&](ValueReader& v) { read_operation(v, operation); }, keys);
+  add_known_keys(
+      "server", [&](ValueReader& v) { read_server(v, server); }, keys);
   return keys;
 }
 
 Checked<Settings> read_settings(std::string_view text,
                                 const std::string& file) {
-  return Builder(text, file).build();
+  return SettingsReader(text, file).build();
 }
 
 }  // namespace eelgrasspin::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -10,11 +10,11 @@
 #include "eelgrasspin/ids.h"
 #include "eelgrasspin/result.h"
 
-/// Settings of one daemon and declarations of the operators, read from INI and
-/// checked.
+/// Reads and checks the settings of a daemon and the operators' declarations,
+/// both in INI format.
 namespace eelgrasspin::config {
 
-/// One daemon's own settings. Addresses are IP numbers with ports.
+/// Settings of one daemon. Endpoints are IP addresses with ports.
 struct Settings {
   DaemonName name;
   ZoneName zone;
@@ -30,23 +30,24 @@
   std::string log_level = "info";              ///< [log] level.
 };
 
-/// Reads and checks a settings text. `file` names it in findings.
+/// Reads and checks settings. `file` is the file name in findings.
 Checked<Settings> read_settings(std::string_view text, const std::string& file);
 
-/// Reads and checks declarations as a whole. `file` names the text in findings.
+/// Reads and checks declarations as a whole. `file` is the file name in
+/// findings.
 Checked<Declarations> read_declarations(std::string_view text,
                                         const std::string& file);
 
-/// Every name that settings and declarations may have, as "section name".
+/// Every name that is valid in settings or declarations, as "section name".
 std::vector<std::string> known_keys();
 
-/// Findings of a change that is not allowed, such as another number of key
-/// slots for an existing service.
+/// Reports changes of declarations that are not allowed, such as a different
+/// number of key slots of an existing service.
 std::vector<Finding> check_change(const Declarations& before,
                                   const Declarations& after,
                                   const std::string& file);
 
-/// Canonical INI text; read_declarations(print_declarations(d)) equals d but
+/// Canonical INI text; read_declarations(print_declarations(d)) equals d except
 /// for `source`.
 std::string print_declarations(const Declarations& declarations);
 
--- a/src/config/values.cc
+++ b/src/config/values.cc
@@ -22,7 +22,7 @@
   return code == std::errc() && rest == end;
 }
 
-bool is_ip_number(const std::string& text) {
+bool is_ip_address(const std::string& text) {
   in6_addr buffer;
   return inet_pton(AF_INET, text.c_str(), &buffer) == 1 ||
          inet_pton(AF_INET6, text.c_str(), &buffer) == 1;
@@ -41,11 +41,11 @@
   } else if (host.find(':') != std::string::npos) {
     return false;
   }
-  return is_ip_number(host);
+  return is_ip_address(host);
 }
 
-const IniValue* Values::find(const std::string& name, Presence presence) {
-  known_.push_back(name);
+const IniValue* ValueReader::find(const std::string& name, Presence presence) {
+  known_names_.push_back(name);
   for (const IniValue& value : section_.values) {
     if (value.name == name) return &value;
   }
@@ -57,35 +57,35 @@
   return nullptr;
 }
 
-int Values::line_of(const std::string& name) const {
+int ValueReader::line_of(const std::string& name) const {
   for (const IniValue& value : section_.values) {
     if (value.name == name) return value.line;
   }
   return section_.line;
 }
 
-void Values::report(const IniValue& value, const std::string& message,
-                    std::string hint) {
+void ValueReader::report(const IniValue& value, const std::string& message,
+                         std::string hint) {
   findings_.push_back({file_, value.line, 0,
                        value.name + " = " + value.value + ": " + message,
                        std::move(hint)});
 }
 
-void Values::report_choice(const IniValue& value,
-                           const std::vector<std::string>& words) {
+void ValueReader::report_choice(const IniValue& value,
+                                const std::vector<std::string>& words) {
   report(value, "not one of the choices", lang::join(words));
 }
 
-void Values::text(const std::string& name, std::string& out,
-                  Presence presence) {
+void ValueReader::text(const std::string& name, std::string& out,
+                       Presence presence) {
   const IniValue* value = find(name, presence);
   if (value == nullptr) return;
   if (value->value.empty()) return report(*value, "empty", "some text");
   out = value->value;
 }
 
-bool Values::read_name(const std::string& name, std::string& out,
-                       Presence presence) {
+bool ValueReader::read_name(const std::string& name, std::string& out,
+                            Presence presence) {
   const IniValue* value = find(name, presence);
   if (value == nullptr) return false;
   if (!lang::is_name(value->value)) {
@@ -96,8 +96,8 @@
   return true;
 }
 
-void Values::endpoint(const std::string& name, Endpoint& out,
-                      Presence presence) {
+void ValueReader::endpoint(const std::string& name, Endpoint& out,
+                           Presence presence) {
   const IniValue* value = find(name, presence);
   if (value == nullptr) return;
   if (!is_endpoint(value->value)) {
@@ -106,9 +106,10 @@
   out = Endpoint(value->value);
 }
 
-void Values::endpoints(const std::string& name, std::vector<Endpoint>& out) {
-  known_.push_back(name);
-  repeatable_.push_back(name);
+void ValueReader::endpoints(const std::string& name,
+                            std::vector<Endpoint>& out) {
+  known_names_.push_back(name);
+  repeatable_names_.push_back(name);
   for (const IniValue& value : section_.values) {
     if (value.name != name) continue;
     std::istringstream words(value.value);
@@ -123,60 +124,63 @@
   }
 }
 
-void Values::number(const std::string& name, std::uint32_t& out,
-                    std::uint32_t least, std::uint32_t most,
-                    Presence presence) {
+void ValueReader::number(const std::string& name, std::uint32_t& out,
+                         std::uint32_t min_value, std::uint32_t max_value,
+                         Presence presence) {
   const IniValue* value = find(name, presence);
   if (value == nullptr) return;
   std::uint32_t read = 0;
-  if (!parse_whole(value->value, read) || read < least || read > most) {
-    return report(
-        *value, "not a number in range",
-        "from " + std::to_string(least) + " to " + std::to_string(most));
+  if (!parse_whole(value->value, read) || read < min_value ||
+      read > max_value) {
+    return report(*value, "not a number in range",
+                  "from " + std::to_string(min_value) + " to " +
+                      std::to_string(max_value));
   }
   out = read;
 }
 
-void Values::weight(const std::string& name, double& out) {
+void ValueReader::weight(const std::string& name, double& out) {
   const IniValue* value = find(name, Presence::kOptional);
   if (value == nullptr) return;
   double read = 0;
-  bool whole = parse_whole(value->value, read);
-  if (!whole || !(read >= 0 && read <= kMaxWeight)) {
+  bool parsed = parse_whole(value->value, read);
+  if (!parsed || !(read >= 0 && read <= kMaxWeight)) {
     return report(*value, "not a weight", "a number from 0 to 1000000");
   }
   out = read;
 }
 
-void Values::duration(const std::string& name, Duration& out, Duration least,
-                      Duration most) {
+void ValueReader::duration(const std::string& name, Duration& out,
+                           Duration min_value, Duration max_value) {
   const IniValue* value = find(name, Presence::kOptional);
   if (value == nullptr) return;
   auto read = lang::parse_duration(value->value);
   if (!ok(read)) return report(*value, "not a duration", error(read).message);
-  if (Duration span = eelgrasspin::value(read); span < least || span > most) {
+  if (Duration span = eelgrasspin::value(read);
+      span < min_value || span > max_value) {
     return report(*value, "out of range",
-                  "from " + lang::print_duration(least) + " to " +
-                      lang::print_duration(most));
+                  "from " + lang::print_duration(min_value) + " to " +
+                      lang::print_duration(max_value));
   }
   out = eelgrasspin::value(read);
 }
 
-void Values::yes_or_no(const std::string& name, bool& out) {
+void ValueReader::yes_or_no(const std::string& name, bool& out) {
   choice<bool>(name, out, {{"yes", true}, {"no", false}}, Presence::kOptional);
 }
 
-void Values::finish() {
+void ValueReader::finish() {
   std::set<std::string> seen;
   for (const IniValue& value : section_.values) {
-    bool known = std::count(known_.begin(), known_.end(), value.name) > 0;
-    bool repeatable =
-        std::count(repeatable_.begin(), repeatable_.end(), value.name) > 0;
+    bool known =
+        std::count(known_names_.begin(), known_names_.end(), value.name) > 0;
+    bool repeatable = std::count(repeatable_names_.begin(),
+                                 repeatable_names_.end(), value.name) > 0;
     if (!known) {
       findings_.push_back(
           {file_, value.line, 0,
            "unknown name " + value.name + " in [" + section_.title + "]",
-           lang::name_hint(value.name, known_)});
+           lang::name_hint(value.name, known_names_)});
     } else if (!seen.insert(value.name).second && !repeatable) {
       findings_.push_back(
           {file_, value.line, 0,
--- a/src/config/values.h
+++ b/src/config/values.h
@@ -12,24 +12,24 @@
 #include "eelgrasspin/result.h"
 #include "eelgrasspin/units.h"
 
-/// Typed values of INI sections, with findings for everything that is wrong.
+/// Reads typed values of INI sections and reports invalid ones as findings.
 namespace eelgrasspin::config {
 
 enum class Presence : std::uint8_t { kRequired, kOptional };
 
-/// Whether `text` is an IP number with a port above 0.
+/// Whether `text` is an IP address with a port above 0.
 bool is_endpoint(std::string_view text);
 
-/// Words of an enumeration and their constants.
+/// Words of an enumeration with their enumerators.
 template <class E>
 using Choices = std::vector<std::pair<std::string, E>>;
 
-/// Reads the values of one section. Each reader leaves `out` as it is when the
-/// value is missing or wrong, and remembers the name as known.
-class Values {
+/// Reads the values of one section. Each function leaves `out` unchanged if the
+/// value is missing or invalid, and records the name as known.
+class ValueReader {
  public:
-  Values(const IniSection& section, const std::string& file,
-         std::vector<Finding>& findings)
+  ValueReader(const IniSection& section, const std::string& file,
+              std::vector<Finding>& findings)
       : section_(section), file_(file), findings_(findings) {}
 
   void text(const std::string& name, std::string& out, Presence presence);
@@ -39,13 +39,14 @@
     if (read_name(name, text, presence)) out = Name<Tag>(text);
   }
   void endpoint(const std::string& name, Endpoint& out, Presence presence);
-  /// Several, separated by spaces, on one line or more.
+  /// Reads any number of endpoints, separated by spaces, on one or more lines.
   void endpoints(const std::string& name, std::vector<Endpoint>& out);
-  void number(const std::string& name, std::uint32_t& out, std::uint32_t least,
-              std::uint32_t most, Presence presence);
+  void number(const std::string& name, std::uint32_t& out,
+              std::uint32_t min_value, std::uint32_t max_value,
+              Presence presence);
   void weight(const std::string& name, double& out);
-  void duration(const std::string& name, Duration& out, Duration least,
-                Duration most);
+  void duration(const std::string& name, Duration& out, Duration min_value,
+                Duration max_value);
   void yes_or_no(const std::string& name, bool& out);
   template <class E>
   void choice(const std::string& name, E& out, const Choices<E>& choices,
@@ -63,11 +64,11 @@
     report_choice(*value, words);
   }
 
-  /// Reports values that no reader asked for, and names given twice.
+  /// Reports names that no function asked for, and names given twice.
   void finish();
 
   int line_of(const std::string& name) const;
-  const std::vector<std::string>& known() const { return known_; }
+  const std::vector<std::string>& known_names() const { return known_names_; }
 
  private:
   const IniValue* find(const std::string& name, Presence presence);
@@ -80,8 +81,8 @@
   const IniSection& section_;
   const std::string& file_;
   std::vector<Finding>& findings_;
-  std::vector<std::string> known_;
-  std::vector<std::string> repeatable_;
+  std::vector<std::string> known_names_;
+  std::vector<std::string> repeatable_names_;
 };
 
 }  // namespace eelgrasspin::config
