--- a/src/config/ini.cc
+++ b/src/config/ini.cc
@@ -7,7 +7,7 @@
 namespace eelgrasspin::config {
 namespace {
 
-/// inih truncates longer names: it copies them into buffers of 50 bytes.
+/// inih copies the names of values into buffers of 50 bytes.
 constexpr std::size_t kMaxNameBytes = 49;
 constexpr std::string_view kSpaces = " \t\r\n\v\f";
 
