--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -268,8 +268,8 @@
 }
 
 fleet::HeartbeatBatch heartbeat_batch_of(const json::object& object) {
-  fleet::HeartbeatBatch bundle;
-  bundle.relay = object.if_contains("relay") != nullptr;
+  fleet::HeartbeatBatch batch;
+  batch.relay = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
   }
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -238,7 +238,7 @@
 
 template <class A>
 void fields(A& a, ConstIfWriting<A, GrantStale>& v) {
-  a("highest", v.highest);
+  a("highest", v.highest_epoch);
 }
 
 template <class A>
