--- a/src/codec/record_fields_p.h
+++ b/src/codec/record_fields_p.h
@@ -254,7 +254,7 @@
 
 template <class A>
 void fields(A& a, ConstIfWriting<A, DamagedRecord>& v) {
-  a("why", v.why);
+  a("why", v.reason);
 }
 
 /// Encodes any record other than monostate, with its type and format number.
