--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -24,7 +24,7 @@
     fill(out);
   }
   template <class T>
-  void added(std::string_view, T& out) {
+  void optional_field(std::string_view, T& out) {
     fill(out);
   }
 
@@ -33,8 +33,8 @@
     if constexpr (std::is_same_v<T, bool>) {
       out = engine_() % 2 == 0;
     } else if constexpr (std::is_enum_v<T>) {
-      out = static_cast<T>(engine_() %
-                           (static_cast<unsigned>(LastOf<T>::kValue) + 1));
+      out = static_cast<T>(
+          engine_() % (static_cast<unsigned>(LastEnumerator<T>::kValue) + 1));
     } else if constexpr (std::is_integral_v<T>) {
       out = static_cast<T>(engine_() >> (engine_() % 64));
     } else if constexpr (std::is_same_v<T, double>) {
@@ -116,7 +116,7 @@
     ++count;
   }
   template <class T>
-  void added(std::string_view, T&) {
+  void optional_field(std::string_view, T&) {
     ++count;
   }
 };
