--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -12,12 +12,13 @@
 namespace eelgrasspin::codec {
 namespace {
 
-/// Fills a value at random, by the same fields() that the codecs use.
-class Filler {
+/// Archive that fills a value with random contents, by means of the same
+/// fields() as the codecs.
+class RandomFiller {
  public:
   static constexpr bool kReading = true;
 
-  explicit Filler(std::uint32_t seed) : engine_(seed) {}
+  explicit RandomFiller(std::uint32_t seed) : engine_(seed) {}
 
   template <class T>
   void operator()(std::string_view, T& out) {
@@ -106,7 +107,7 @@
   std::mt19937_64 engine_;
 };
 
-/// Counts the fields that fields() names.
+/// Archive that counts the fields listed in fields().
 struct FieldCounter {
   static constexpr bool kReading = true;
   std::size_t count = 0;
@@ -135,8 +136,8 @@
 }
 
 TEST(Codec, NamesEveryFieldOfEveryStruct) {
-  // GCC 12 fails inside Boost.PFR on a struct that holds an array; a structured
-  // binding counts those.
+  // GCC 12 fails inside Boost.PFR on a struct that contains an array, so the
+  // fields of these two are counted by a structured binding.
   DaemonAccount account;
   [[maybe_unused]] auto& [daemon, incarnation, as_of, counts, samples] =
       account;
@@ -187,12 +188,12 @@
 void expect_round_trips() {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     T record;
-    Filler(seed).fill(record);
+    RandomFiller(seed).fill(record);
     std::string text = encode_record(record);
-    Record read = decode_record(key_of(record), text);
-    ASSERT_EQ(read, Record(record)) << text;
-    Record elsewhere = decode_record(StoreKey("live/elsewhere"), text);
-    ASSERT_TRUE(std::holds_alternative<DamagedRecord>(elsewhere));
+    Record decoded = decode_record(key_of(record), text);
+    ASSERT_EQ(decoded, Record(record)) << text;
+    Record under_wrong_key = decode_record(StoreKey("live/elsewhere"), text);
+    ASSERT_TRUE(std::holds_alternative<DamagedRecord>(under_wrong_key));
   }
 }
 
@@ -242,11 +243,11 @@
   StoreKey key = ownership_map_key(map.service, map.zone);
   EXPECT_TRUE(decode_record(key, text) == Record(map));
 
-  OwnershipMap scattered = map;
-  std::erase_if(scattered.slots,
+  OwnershipMap with_gaps = map;
+  std::erase_if(with_gaps.slots,
                 [](const auto& slot) { return slot.first.value % 3 == 1; });
-  EXPECT_TRUE(decode_record(key, encode_record(scattered)) ==
-              Record(scattered));
+  EXPECT_TRUE(decode_record(key, encode_record(with_gaps)) ==
+              Record(with_gaps));
   OwnershipMap empty{map.service, map.zone};
   EXPECT_TRUE(decode_record(key, encode_record(empty)) == Record(empty));
 }
@@ -262,7 +263,7 @@
   EXPECT_TRUE(decode_record(zone_map_key(map.service), text) == Record(map));
 }
 
-std::string why_damaged(const StoreKey& key, const std::string& text) {
+std::string damage_reason(const StoreKey& key, const std::string& text) {
   Record record = decode_record(key, text);
   auto* damaged = std::get_if<DamagedRecord>(&record);
   return damaged == nullptr ? "" : damaged->reason;
@@ -272,18 +273,18 @@
   StoreKey key = drain_key(ServerName("a"));
   DrainPlan plan;
   plan.server = ServerName("a");
-  std::string good = encode_record(plan);
-  EXPECT_EQ(why_damaged(key, good), "");
-  std::string newer = good;
+  std::string valid = encode_record(plan);
+  EXPECT_EQ(damage_reason(key, valid), "");
+  std::string newer = valid;
   newer.replace(newer.find("\"format\":1"), 10, "\"format\":2");
-  EXPECT_EQ(why_damaged(key, newer), "format 2, this version reads 1");
-  EXPECT_EQ(why_damaged(key, R"({"format":1,"type":"tide"})"),
+  EXPECT_EQ(damage_reason(key, newer), "format 2, this version reads 1");
+  EXPECT_EQ(damage_reason(key, R"({"format":1,"type":"tide"})"),
             "unknown type tide");
-  EXPECT_EQ(why_damaged(key, R"({"format":1,"type":"drain_plan"})"),
+  EXPECT_EQ(damage_reason(key, R"({"format":1,"type":"drain_plan"})"),
             "id: missing");
-  EXPECT_EQ(why_damaged(key, "[1]"), "not an object");
-  for (std::size_t cut = 1; cut < good.size(); ++cut) {
-    EXPECT_NE(why_damaged(key, good.substr(0, cut)), "") << cut;
+  EXPECT_EQ(damage_reason(key, "[1]"), "not an object");
+  for (std::size_t cut = 1; cut < valid.size(); ++cut) {
+    EXPECT_NE(damage_reason(key, valid.substr(0, cut)), "") << cut;
   }
 }
 
@@ -296,23 +297,24 @@
   std::string short_column = text;
   short_column.replace(short_column.find("\"slots\":[1,3]"), 13,
                        "\"slots\":[1]");
-  EXPECT_EQ(why_damaged(key, short_column),
+  EXPECT_EQ(damage_reason(key, short_column),
             "columns: columns do not fit together");
-  std::string huge = text;
-  huge.replace(huge.find("\"slots\":[1,3]"), 13, "\"slots\":[[1,9999999999]]");
-  EXPECT_EQ(why_damaged(key, huge),
+  std::string long_column = text;
+  long_column.replace(long_column.find("\"slots\":[1,3]"), 13,
+                      "\"slots\":[[1,9999999999]]");
+  EXPECT_EQ(damage_reason(key, long_column),
             "columns: slots: more slots than a service can have");
 }
 
 TEST(Codec, ReadsBackEveryMessage) {
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
     PeerMessage message;
-    Filler(seed).fill(message);
+    RandomFiller(seed).fill(message);
     std::string text = encode_message(message);
-    auto read = decode_message(text);
-    ASSERT_TRUE(ok(read)) << error(read).message << text;
-    ASSERT_EQ(value(read), message) << text;
-    ASSERT_EQ(encode_message(value(read)), text);
+    auto decoded = decode_message(text);
+    ASSERT_TRUE(ok(decoded)) << error(decoded).message << text;
+    ASSERT_EQ(value(decoded), message) << text;
+    ASSERT_EQ(encode_message(value(decoded)), text);
   }
   EXPECT_FALSE(ok(decode_message("{}")));
 }
@@ -320,19 +322,19 @@
 TEST(Codec, ReadsBackGrantsAnswersAndVms) {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     GrantOrder order;
-    Filler(seed).fill(order);
+    RandomFiller(seed).fill(order);
     std::string text = encode_grant_order(order);
     ASSERT_EQ(encode_grant_order(value(decode_grant_order(text))), text);
     GrantReply reply;
-    Filler(seed).fill(reply);
+    RandomFiller(seed).fill(reply);
     text = encode_grant_reply(reply);
     ASSERT_EQ(encode_grant_reply(value(decode_grant_reply(text))), text);
     CommandAnswer answer;
-    Filler(seed).fill(answer);
+    RandomFiller(seed).fill(answer);
     text = encode_answer(answer);
     ASSERT_EQ(encode_answer(value(decode_answer(text))), text);
     std::vector<VmEntry> vms;
-    Filler(seed).fill(vms);
+    RandomFiller(seed).fill(vms);
     text = encode_vms(vms);
     ASSERT_EQ(encode_vms(value(decode_vms(text))), text);
   }
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -41,8 +41,8 @@
   return std::get<Declarations>(checked);
 }
 
-/// The least text that is accepted.
-std::string least_declarations() {
+/// The shortest valid text.
+std::string minimal_declarations() {
   return "[deployment]\n"
          "name = magarini\n"
          "schema = 1\n"
@@ -62,9 +62,9 @@
 
 std::string replaced(std::string text, const std::string& from,
                      const std::string& to) {
-  std::size_t at = text.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  return text.replace(at, from.size(), to);
+  std::size_t position = text.find(from);
+  EXPECT_NE(position, std::string::npos) << from;
+  return text.replace(position, from.size(), to);
 }
 
 TEST(Declarations, ExamplesAreAcceptedAndPrintedCanonically) {
@@ -80,7 +80,7 @@
 
 TEST(Declarations, ReadsEveryValue) {
   Declarations read =
-      parsed(replaced(least_declarations(), "[service panboard]\n",
+      parsed(replaced(minimal_declarations(), "[service panboard]\n",
                       "[service panboard]\n"
                       "key_slots = 4096 ; comment\n"
                       "deadline = 7s\n"
@@ -164,44 +164,45 @@
 }
 
 TEST(Declarations, ChecksAcrossSections) {
-  std::string least = least_declarations();
-  EXPECT_EQ(declaration_findings(least), "");
-  EXPECT_NE(declaration_findings(least + "[server panboard-02]\n"
-                                         "service = panboard\n"
-                                         "zone = gongoni\n"
-                                         "address = 127.0.0.1:9001\n")
+  std::string minimal = minimal_declarations();
+  EXPECT_EQ(declaration_findings(minimal), "");
+  EXPECT_NE(declaration_findings(minimal + "[server panboard-02]\n"
+                                           "service = panboard\n"
+                                           "zone = gongoni\n"
+                                           "address = 127.0.0.1:9001\n")
                 .find("address 127.0.0.1:9001 is that of panboard-01"),
             std::string::npos);
-  EXPECT_NE(declaration_findings(least + "[operation panboard again]\n"
-                                         "method = PUT\n"
-                                         "path = /pans/{key}/readings\n"
-                                         "class = read\n")
+  EXPECT_NE(declaration_findings(minimal + "[operation panboard again]\n"
+                                           "method = PUT\n"
+                                           "path = /pans/{key}/readings\n"
+                                           "class = read\n")
                 .find("same method and path as reading"),
             std::string::npos);
-  EXPECT_NE(declaration_findings(least + "[region kilifi]\n")
+  EXPECT_NE(declaration_findings(minimal + "[region kilifi]\n")
                 .find("is given twice (first in line 4)"),
             std::string::npos);
-  EXPECT_NE(declaration_findings(replaced(least, "{key}", "{key}/{key}")), "");
+  EXPECT_NE(declaration_findings(replaced(minimal, "{key}", "{key}/{key}")),
+            "");
   EXPECT_NE(declaration_findings(""), "");
 }
 
 TEST(Declarations, ReportsLinesThatAreNotIni) {
   std::string long_line = "name = " + std::string(400, 'x') + "\n";
-  EXPECT_EQ(declaration_findings(least_declarations() + long_line + "[open\n" +
-                                 "= 3\n"),
+  EXPECT_EQ(declaration_findings(minimal_declarations() + long_line +
+                                 "[open\n" + "= 3\n"),
             "d.ini:16: line of 407 bytes (at most 197)\n"
             "d.ini:17: heading without ']' ([section])\n"
             "d.ini:18: unknown name  in [server panboard-01] (known: service, "
             "zone, address, slots, connections, connection_interval, "
             "checks_grants)\n");
-  std::string zero = least_declarations() + std::string("a = \0b\n", 7);
+  std::string zero = minimal_declarations() + std::string("a = \0b\n", 7);
   EXPECT_EQ(declaration_findings(zero), "d.ini:16: a zero byte (plain text)\n");
-  EXPECT_EQ(declaration_findings("a = b\n" + least_declarations()),
+  EXPECT_EQ(declaration_findings("a = b\n" + minimal_declarations()),
             "d.ini:1: value before any section ([section] first)\n");
 }
 
 TEST(Declarations, KeepsWhatCannotChange) {
-  Declarations before = parsed(least_declarations());
+  Declarations before = parsed(minimal_declarations());
   EXPECT_TRUE(check_change(before, before, "d.ini").empty());
   Declarations after = before;
   after.services.begin()->second.key_slots = 2048;
--- a/tests/docs_test.cc
+++ b/tests/docs_test.cc
@@ -11,7 +11,8 @@
 #include "core/counters.h"
 #include "lang/words.h"
 
-/// The operators' pages name everything that the code knows.
+/// Checks that the operators' pages document every setting, metric, event and
+/// subject in the code.
 namespace eelgrasspin {
 namespace {
 
@@ -24,7 +25,7 @@
   return text.str();
 }
 
-/// The rows of a table from the one that names `section` to the next section.
+/// The rows of a table from the one of `section` up to the next section.
 std::string rows_of(const std::string& text, const std::string& section) {
   std::size_t start = text.find("| `[" + section);
   if (start == std::string::npos) return {};
@@ -56,8 +57,8 @@
   }
 }
 
-/// Everything that the pattern's first group matches in the sources of a
-/// folder.
+/// All texts that the pattern's first group matches in the .cc files of
+/// `folder`.
 std::set<std::string> names_in(const std::string& folder,
                                const std::regex& pattern) {
   const char* root = std::getenv("EELGRASSPIN_SOURCE");
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -24,9 +24,9 @@
 inline constexpr std::uint32_t kSlots = 16;
 
 inline Declarations declarations() {
-  Declarations all;
-  all.zones[kOwnZone] = {kOwnZone, RegionName("kilifi")};
-  all.zones[kOtherZone] = {kOtherZone, RegionName("kilifi")};
+  Declarations deployment;
+  deployment.zones[kOwnZone] = {kOwnZone, RegionName("kilifi")};
+  deployment.zones[kOtherZone] = {kOtherZone, RegionName("kilifi")};
   ServiceDeclaration service{.name = kService, .key_slots = kSlots};
   service.deadline = milliseconds(1000);
   service.execution_limit = milliseconds(200);
@@ -35,24 +35,24 @@
       {"read", "GET", "/dispatches/{key}", ExecutionClass::kRead},
       {"note", "PUT", "/dispatches/{key}/note", ExecutionClass::kIdempotent},
       {"lodge", "POST", "/dispatches/{key}", ExecutionClass::kAtMostOnce}};
-  all.services[kService] = service;
-  all.servers[kOwnServer] = {.name = kOwnServer,
-                             .service = kService,
-                             .zone = kOwnZone,
-                             .address = Endpoint("127.0.0.1:8001")};
-  all.servers[kOtherServer] = {.name = kOtherServer,
-                               .service = kService,
-                               .zone = kOtherZone,
-                               .address = Endpoint("127.0.0.1:8002")};
-  return all;
+  deployment.services[kService] = service;
+  deployment.servers[kOwnServer] = {.name = kOwnServer,
+                                    .service = kService,
+                                    .zone = kOwnZone,
+                                    .address = Endpoint("127.0.0.1:8001")};
+  deployment.servers[kOtherServer] = {.name = kOtherServer,
+                                      .service = kService,
+                                      .zone = kOtherZone,
+                                      .address = Endpoint("127.0.0.1:8002")};
+  return deployment;
 }
 
-/// A key that falls into a slot below (`here`) or above the middle.
-inline Key key_in(bool here, int nth = 0) {
+/// The `nth` key whose slot belongs to the own zone, or else to the other one.
+inline Key key_in(bool own_zone, int nth = 0) {
   for (int i = 0;; ++i) {
     Key key("lorry-" + std::to_string(i));
     bool low = core::ownership::slot_of(key, kSlots).value < kSlots / 2;
-    if (low == here && nth-- == 0) return key;
+    if (low == own_zone && nth-- == 0) return key;
   }
 }
 
@@ -67,7 +67,7 @@
   return head;
 }
 
-/// Effects of one type, in order.
+/// All effects of type E, in order.
 template <class E>
 std::vector<E> effects_of(const core::Effects& effects) {
   std::vector<E> found;
@@ -77,7 +77,7 @@
   return found;
 }
 
-/// The daemon of the first zone on virtual time, with a cache made by hand.
+/// The own zone's daemon on virtual time, with a cache filled by the test.
 class Daemon {
  public:
   Daemon() {
@@ -99,7 +99,7 @@
     return core::reduce(state, event, now());
   }
 
-  /// Lets time pass in ticks; all effects together.
+  /// Advances time in ticks and returns the effects of all of them.
   core::Effects run(Duration span) {
     core::Effects all;
     for (Duration end = elapsed + span; elapsed < end;) {
@@ -133,7 +133,7 @@
     put(zone_map_key(kService), map);
   }
 
-  /// Gives the zone's half of the slots to `server`.
+  /// Makes `server` the owner of the zone's half of the slots.
   void put_owner(const ZoneName& zone, const ServerName& server,
                  std::uint64_t epoch, SlotPhase phase = SlotPhase::kOwned) {
     OwnershipMap map{.service = kService, .zone = zone};
--- a/tests/lang_test.cc
+++ b/tests/lang_test.cc
@@ -97,16 +97,17 @@
 }
 
 TEST(Lang, Completes) {
-  using Words = std::vector<std::string>;
-  EXPECT_EQ(completions("dr"), Words{"drain"});
+  using StringList = std::vector<std::string>;
+  EXPECT_EQ(completions("dr"), StringList{"drain"});
   EXPECT_EQ(completions("show s"),
-            (Words{"services", "slots", "servers", "store"}));
-  EXPECT_EQ(completions("drain "), Words{"server"});
-  EXPECT_EQ(completions("drain server "), Words{"<server>"});
-  EXPECT_EQ(completions("drain server pan"), Words{"<server>"});
-  EXPECT_EQ(completions("show slots "), (Words{"where", "since", "limit"}));
-  EXPECT_EQ(completions("move s slot 1 to "), (Words{"zone", "<server>"}));
-  EXPECT_EQ(completions("nonsense "), Words{});
+            (StringList{"services", "slots", "servers", "store"}));
+  EXPECT_EQ(completions("drain "), StringList{"server"});
+  EXPECT_EQ(completions("drain server "), StringList{"<server>"});
+  EXPECT_EQ(completions("drain server pan"), StringList{"<server>"});
+  EXPECT_EQ(completions("show slots "),
+            (StringList{"where", "since", "limit"}));
+  EXPECT_EQ(completions("move s slot 1 to "), (StringList{"zone", "<server>"}));
+  EXPECT_EQ(completions("nonsense "), StringList{});
 }
 
 TEST(Lang, ReadsAndPrintsDurations) {
--- a/tests/parser_fuzz_test.cc
+++ b/tests/parser_fuzz_test.cc
@@ -8,14 +8,14 @@
 #include "config/settings.h"
 #include "lang/lang.h"
 
-/// The three parsers of operators' input: any bytes are read or refused with
-/// findings that have a place and a message, and what was accepted is printed
-/// and read again unchanged.
+/// Fuzzes the parsers of commands, declarations and settings: each input is
+/// accepted, or rejected with findings that have a location and a message.
+/// Accepted commands and declarations survive printing and parsing again.
 namespace eelgrasspin {
 namespace {
 
-/// Mutations of a valid text in each of RapidCheck's cases.
-constexpr int kMutations = 20;
+/// Number of mutations of a valid text per RapidCheck case.
+constexpr int kMutationsPerCase = 20;
 
 using Findings = std::vector<Finding>;
 
@@ -44,9 +44,9 @@
   }
   std::string printed =
       config::print_declarations(std::get<Declarations>(checked));
-  auto again = config::read_declarations(printed, "f");
-  RC_ASSERT(std::holds_alternative<Declarations>(again));
-  RC_ASSERT(config::print_declarations(std::get<Declarations>(again)) ==
+  auto reparsed = config::read_declarations(printed, "f");
+  RC_ASSERT(std::holds_alternative<Declarations>(reparsed));
+  RC_ASSERT(config::print_declarations(std::get<Declarations>(reparsed)) ==
             printed);
 }
 
@@ -65,48 +65,48 @@
     return check_findings(*findings);
   }
   const auto& command = std::get<Command>(checked);
-  auto again = lang::parse(lang::print(command));
-  RC_ASSERT(std::get<Command>(again) == command);
+  auto reparsed = lang::parse(lang::print(command));
+  RC_ASSERT(std::get<Command>(reparsed) == command);
 }
 
-/// Changes a few bytes or lines of a valid text.
+/// Applies one to three random changes of bytes or lines to a valid text.
 std::string mutated(std::string text) {
   static const std::string kBytes = "[]=:;#\"\\ \n\t{}0a-";
   int changes = *rc::gen::inRange(1, 4);
   for (int i = 0; i < changes && !text.empty(); ++i) {
-    auto at = *rc::gen::inRange<std::size_t>(0, text.size());
-    std::size_t line_end = std::min(text.find('\n', at), text.size() - 1);
+    auto position = *rc::gen::inRange<std::size_t>(0, text.size());
+    std::size_t line_end = std::min(text.find('\n', position), text.size() - 1);
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
-        text[at] = *rc::gen::elementOf(kBytes);
+        text[position] = *rc::gen::elementOf(kBytes);
         break;
       case 1:
-        text[at] = *rc::gen::arbitrary<char>();
+        text[position] = *rc::gen::arbitrary<char>();
         break;
       case 2:
-        text.erase(at, *rc::gen::inRange<std::size_t>(1, 30));
+        text.erase(position, *rc::gen::inRange<std::size_t>(1, 30));
         break;
       case 3:
-        text.insert(at, text.substr(at, line_end - at + 1));
+        text.insert(position, text.substr(position, line_end - position + 1));
         break;
       default:
-        text.insert(at, 1, *rc::gen::elementOf(kBytes));
+        text.insert(position, 1, *rc::gen::elementOf(kBytes));
     }
   }
   return text;
 }
 
-std::string any_name() {
+std::string random_name() {
   return *rc::gen::nonEmpty(rc::gen::container<std::string>(
              rc::gen::elementOf(std::string("abz09.-_")))) +
          "n";
 }
 
-rc::Gen<Command> any_command() {
+rc::Gen<Command> random_command() {
   return rc::gen::exec([]() -> Command {
-    auto name = [] { return any_name().substr(0, 40); };
+    auto name = [] { return random_name().substr(0, 40); };
     auto text = [] { return *rc::gen::arbitrary<std::string>(); };
-    auto span = [] {
+    auto duration = [] {
       return Duration(*rc::gen::inRange<std::int64_t>(0, 1'000'000'000));
     };
     switch (*rc::gen::inRange(0, 12)) {
@@ -120,7 +120,7 @@
               {name(), static_cast<Comparison>(*rc::gen::inRange(0, 6)),
                text()});
         }
-        if (*rc::gen::arbitrary<bool>()) show.since = span();
+        if (*rc::gen::arbitrary<bool>()) show.since = duration();
         if (*rc::gen::arbitrary<bool>()) {
           show.limit = *rc::gen::arbitrary<std::uint32_t>();
         }
@@ -141,11 +141,11 @@
         return MoveCommand{
             ServiceName(name()), SlotId(3), {}, {}, ZoneName(name())};
       case 5:
-        return DrainCommand{ServerName(name()), span()};
+        return DrainCommand{ServerName(name()), duration()};
       case 6:
         return UndrainCommand{ServerName(name())};
       case 7:
-        return CloseCommand{ServiceName(name()), span(), text()};
+        return CloseCommand{ServiceName(name()), duration(), text()};
       case 8:
         return CancelClosureCommand{ServiceName(name())};
       case 9:
@@ -159,7 +159,7 @@
 }
 
 RC_GTEST_PROP(ParserFuzz, CommandsAreReadBackAsPrinted, ()) {
-  Command command = *any_command();
+  Command command = *random_command();
   auto read = lang::parse(lang::print(command));
   RC_ASSERT(std::holds_alternative<Command>(read));
   RC_ASSERT(std::get<Command>(read) == command);
@@ -170,8 +170,8 @@
 }
 
 RC_GTEST_PROP(ParserFuzz, MutatedCommands, ()) {
-  std::string valid = lang::print(*any_command());
-  for (int i = 0; i < kMutations; ++i) check_command(mutated(valid));
+  std::string valid = lang::print(*random_command());
+  for (int i = 0; i < kMutationsPerCase; ++i) check_command(mutated(valid));
 }
 
 RC_GTEST_PROP(ParserFuzz, DeclarationsAndSettingsOfAnyBytes, ()) {
@@ -182,12 +182,13 @@
 
 RC_GTEST_PROP(ParserFuzz, MutatedDeclarations, ()) {
   static const std::string kValid = example("magarini/demo.ini");
-  for (int i = 0; i < kMutations; ++i) check_declarations(mutated(kValid));
+  for (int i = 0; i < kMutationsPerCase; ++i)
+    check_declarations(mutated(kValid));
 }
 
 RC_GTEST_PROP(ParserFuzz, MutatedSettings, ()) {
   static const std::string kValid = example("ocsa/daemon.ini");
-  for (int i = 0; i < kMutations; ++i) check_settings(mutated(kValid));
+  for (int i = 0; i < kMutationsPerCase; ++i) check_settings(mutated(kValid));
 }
 
 }  // namespace
