--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -52,8 +52,9 @@
   std::vector<std::pair<SlotId, double>>
       slot_rates;                ///< Busiest slots with requests per second.
   std::vector<HotKey> hot_keys;  ///< Busiest keys.
-  bool silent = false;  ///< The server does not answer and no grant allows it
-                        ///< to start requests; started ones may still run.
+  /// The server does not answer and no grant allows it to start requests;
+  /// started ones may still run.
+  bool grant_expired = false;
   Version map_version;  ///< Ownership map used by the front; `lapsed` and
                         ///< `released` apply to units not owned in that map.
 
@@ -72,7 +73,7 @@
   bool stopping = false;        ///< Its roles are to be given to others.
   bool reaches_store = false;
   /// Lost members of its roster, none of which it answers any more.
-  std::vector<DaemonName> silent;
+  std::vector<DaemonName> ignored_members;
   std::vector<FrontReport> fronts;
   std::map<ServiceName, DaemonAccount> accounts;
 
