--- a/src/io/backend_pool.cc
+++ b/src/io/backend_pool.cc
@@ -84,7 +84,7 @@
   Busy busy = take(call.address, call.repeatable);
   busy_[number] = busy;
   busy.connection->exchange_checked(
-      call.request, call.limit, std::move(call.belongs),
+      call.request, call.limit, std::move(call.matches_request),
       [this, number, address = call.address,
        done = std::move(done)](HttpResult result) {
         finish(number, address, result);
--- a/src/io/backend_pool.h
+++ b/src/io/backend_pool.h
@@ -21,7 +21,7 @@
     Duration limit{0};
     /// May run twice: an older kept connection may be risked.
     bool repeatable = false;
-    HttpResponseCheck belongs;
+    HttpResponseCheck matches_request;
   };
 
   explicit BackendPool(boost::asio::io_context& io) : io_(io) {}
--- a/src/io/caller_http.cc
+++ b/src/io/caller_http.cc
@@ -84,15 +84,17 @@
   return result;
 }
 
-HttpResponse to_caller(std::uint16_t status, const Payload& payload) {
+HttpResponse make_caller_response(std::uint16_t status,
+                                  const Payload& payload) {
   HttpResponse answer{status, payload.headers, payload.body, false};
   answer.headers.emplace_back("Eelgrasspin-Outcome",
                               to_string(Outcome::kAnswered));
   return answer;
 }
 
-HttpResponse to_caller(Outcome outcome, Reason reason, Duration retry_after,
-                       RequestId request, const std::string& message) {
+HttpResponse make_caller_response(Outcome outcome, Reason reason,
+                                  Duration retry_after, RequestId request,
+                                  const std::string& message) {
   boost::json::object body = {{"outcome", to_string(outcome)},
                               {"reason", to_string(reason)},
                               {"request", request.value}};
@@ -119,8 +121,8 @@
                                          ? Reason::kBodyTooLarge
                                          : Reason::kBadRequest;
                      HttpResponse answer =
-                         to_caller(Outcome::kNotRun, reason, Duration(0),
-                                   RequestId(), why);
+                         make_caller_response(Outcome::kNotRun, reason,
+                                              Duration(0), RequestId(), why);
                      answer.status = status;
                      return answer;
                    }},
@@ -138,8 +140,9 @@
   }
   auto read = read_caller_request(std::move(exchange->request()));
   if (const auto* wrong = std::get_if<std::string>(&read)) {
-    return exchange->answer(to_caller(Outcome::kNotRun, Reason::kBadRequest,
-                                      Duration(0), RequestId(), *wrong));
+    return exchange->answer(
+        make_caller_response(Outcome::kNotRun, Reason::kBadRequest, Duration(0),
+                             RequestId(), *wrong));
   }
   handlers_.on_request(std::move(std::get<CallerRequest>(read)), exchange);
 }
--- a/src/io/caller_http.h
+++ b/src/io/caller_http.h
@@ -29,10 +29,11 @@
     HttpRequest request);
 
 /// The answer of a backend server, marked as answered.
-HttpResponse to_caller(std::uint16_t status, const Payload& payload);
+HttpResponse make_caller_response(std::uint16_t status, const Payload& payload);
 /// A refusal or unknown outcome. `request` 0 if the request got no id.
-HttpResponse to_caller(Outcome outcome, Reason reason, Duration retry_after,
-                       RequestId request, const std::string& message = {});
+HttpResponse make_caller_response(Outcome outcome, Reason reason,
+                                  Duration retry_after, RequestId request,
+                                  const std::string& message = {});
 
 /// Port for callers.
 class CallerPort {
--- a/src/io/fleet_ports.h
+++ b/src/io/fleet_ports.h
@@ -53,11 +53,11 @@
 
 struct ObjectPage {
   std::vector<StoredObject> objects;
-  bool more = false;  ///< Listing goes on after the last name.
-  Version as_of;      ///< The store's revision.
+  bool has_more = false;  ///< Listing goes on after the last name.
+  Version as_of;          ///< The store's revision.
 };
 
-enum class StoreFault : std::uint8_t {
+enum class StoreFailureKind : std::uint8_t {
   kNoAnswer,     ///< A change may have been made, or may be made later.
   kRefused,      ///< Nothing was done.
   kHistoryGone,  ///< Changes since that revision are no longer known.
@@ -66,7 +66,7 @@
 };
 
 struct StoreFailure {
-  StoreFault fault = StoreFault::kNoAnswer;
+  StoreFailureKind fault = StoreFailureKind::kNoAnswer;
   std::string why;
 };
 
@@ -106,8 +106,8 @@
 };
 
 /// What a caller's request says to the router.
-struct CallerRequest {
-  std::string label;
+struct CallerRequestHead {
+  std::string caller_request_id;
   std::string host;
   std::string path;
   std::optional<fleet::ShardKey> key;
@@ -119,20 +119,21 @@
  public:
   virtual ~RequestFormat() = default;
   /// An error says what is wrong with the request.
-  virtual Result<CallerRequest> read_caller(
+  virtual Result<CallerRequestHead> read_caller_request(
       const HttpRequest& request) const = 0;
   /// The caller's request as it is passed on.
-  virtual HttpRequest to_server(const HttpRequest& request,
-                                const fleet::SendAttempt& attempt) const = 0;
-  virtual bool belongs(const std::string& label,
-                       const HttpResponse& answer) const = 0;
+  virtual HttpRequest make_server_request(
+      const HttpRequest& request, const fleet::SendAttempt& attempt) const = 0;
+  virtual bool matches_request(const std::string& caller_request_id,
+                               const HttpResponse& answer) const = 0;
   /// What an answer says of the request that was sent.
   virtual fleet::AttemptEnded classify(HttpResponse answer) const = 0;
-  virtual HttpResponse to_caller(const fleet::ServerAnswer& answer) const = 0;
+  virtual HttpResponse make_caller_response(
+      const fleet::ServerAnswer& answer) const = 0;
   /// An answer of this system's own.
-  virtual HttpResponse own_answer(const std::string& label, int status,
-                                  Duration retry_after,
-                                  std::string_view reason) const = 0;
+  virtual HttpResponse make_router_response(
+      const std::string& caller_request_id, int status, Duration retry_after,
+      std::string_view reason) const = 0;
 };
 
 }  // namespace eelgrasspin::io
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -48,7 +48,7 @@
 HttpServerOptions options_of_callers(const RequestFormat& format) {
   HttpServerOptions options;
   options.refusal = [&format](int status, const std::string& why) {
-    return format.own_answer({}, status, Duration(0), why);
+    return format.make_router_response({}, status, Duration(0), why);
   };
   return options;
 }
@@ -56,7 +56,7 @@
 }  // namespace
 
 FleetShell::FleetShell(asio::io_context& io, fleet::Settings settings,
-                       FleetAddresses addresses, FleetStore& store,
+                       ListenAddresses addresses, FleetStore& store,
                        KeyOrders& orders, const RequestFormat& format,
                        std::function<void()> stopped)
     : io_(io),
@@ -144,13 +144,15 @@
             calls_.erase(call);
           },
           [this](const fleet::RelayAnswer& e) {
-            answer(e.request, format_.to_caller(*e.answer));
+            answer(e.request, format_.make_caller_response(*e.answer));
           },
           [this](const fleet::AnswerCaller& e) {
             auto open = open_.find(e.request);
-            std::string label = open == open_.end() ? "" : open->second.label;
-            answer(e.request, format_.own_answer(label, e.status, e.retry_after,
-                                                 e.reason));
+            std::string caller_request_id =
+                open == open_.end() ? "" : open->second.caller_request_id;
+            answer(e.request,
+                   format_.make_router_response(caller_request_id, e.status,
+                                                e.retry_after, e.reason));
           },
           [this](const fleet::SendHeartbeat& e) {
             send_datagrams(codec::encode_heartbeat(e.heartbeat), e.to);
@@ -184,23 +186,24 @@
 }
 
 void FleetShell::on_exchange(const std::shared_ptr<HttpExchange>& exchange) {
-  Result<CallerRequest> read = format_.read_caller(exchange->request());
+  Result<CallerRequestHead> read =
+      format_.read_caller_request(exchange->request());
   if (!ok(read)) {
     constexpr int kBadRequest = 400;
     log(fleet::Note{"request_invalid",
                     {{"from", exchange->request().remote.str()},
                      {"why", error(read).message}}});
-    return exchange->answer(
-        format_.own_answer({}, kBadRequest, Duration(0), error(read).message));
+    return exchange->answer(format_.make_router_response(
+        {}, kBadRequest, Duration(0), error(read).message));
   }
-  CallerRequest& request = value(read);
+  CallerRequestHead& request = value(read);
   RequestId id(next_request_++);
-  open_[id] = {exchange, request.label, boot_now()};
+  open_[id] = {exchange, request.caller_request_id, boot_now()};
   exchange->on_abandoned([this, id] {
     open_.erase(id);
     apply(fleet::CallerLeft{id});
   });
-  apply(fleet::RequestReceived{id, std::move(request.label),
+  apply(fleet::RequestReceived{id, std::move(request.caller_request_id),
                                std::move(request.host), std::move(request.path),
                                request.key, request.deadline,
                                fingerprint_of(exchange->request())});
@@ -209,12 +212,12 @@
 void FleetShell::send_attempt(const fleet::SendAttempt& attempt) {
   auto open = open_.find(attempt.request);
   if (open == open_.end()) return;
-  std::string label = open->second.label;
+  std::string caller_request_id = open->second.caller_request_id;
   BackendPool::Call call{
-      format_.to_server(open->second.exchange->request(), attempt),
-      attempt.address, attempt.response_timeout, attempt.repeatable,
-      [this, label](const HttpResponse& answer) {
-        return format_.belongs(label, answer);
+      format_.make_server_request(open->second.exchange->request(), attempt),
+      attempt.address, attempt.patience, attempt.repeatable,
+      [this, caller_request_id](const HttpResponse& answer) {
+        return format_.matches_request(caller_request_id, answer);
       }};
   TimePoint sent = boot_now();
   calls_[attempt.id] = pool_.start(
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -21,7 +21,7 @@
 
 namespace eelgrasspin::io {
 
-struct FleetAddresses {
+struct ListenAddresses {
   Endpoint callers;
   Endpoint ready;  ///< Answers 200 while new connections are welcome.
   Endpoint metrics;
@@ -32,7 +32,7 @@
 class FleetShell {
  public:
   FleetShell(boost::asio::io_context& io, fleet::Settings settings,
-             FleetAddresses addresses, FleetStore& store, KeyOrders& orders,
+             ListenAddresses addresses, FleetStore& store, KeyOrders& orders,
              const RequestFormat& format, std::function<void()> stopped);
   FleetShell(const FleetShell&) = delete;
   FleetShell& operator=(const FleetShell&) = delete;
@@ -48,7 +48,7 @@
  private:
   struct Open {
     std::shared_ptr<HttpExchange> exchange;
-    std::string label;
+    std::string caller_request_id;
     TimePoint received;
   };
 
@@ -71,7 +71,7 @@
 
   boost::asio::io_context& io_;
   fleet::Settings settings_;
-  FleetAddresses addresses_;
+  ListenAddresses addresses_;
   KeyOrders& orders_;
   const RequestFormat& format_;
   std::function<void()> stopped_;
--- a/src/io/held_requests.cc
+++ b/src/io/held_requests.cc
@@ -31,7 +31,8 @@
                           std::shared_ptr<const Payload> payload) {
   std::optional<HeldRequest> held = take(request);
   if (!held) return;
-  if (held->caller) held->caller->answer(to_caller(status, *payload));
+  if (held->caller)
+    held->caller->answer(make_caller_response(status, *payload));
   if (held->forward) held->forward->answer(status, *payload);
 }
 
@@ -40,7 +41,8 @@
   std::optional<HeldRequest> held = take(request);
   if (!held) return;
   if (held->caller) {
-    held->caller->answer(to_caller(outcome, reason, retry_after, request));
+    held->caller->answer(
+        make_caller_response(outcome, reason, retry_after, request));
   }
   if (held->forward) {
     held->forward->refuse(outcome, reason, retry_after, newer_epoch);
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -57,14 +57,15 @@
   }
 
   void exchange_checked(const HttpRequest& request, Duration limit,
-                        HttpResponseCheck belongs, HttpCallback done) override {
-    belongs_ = std::move(belongs);
+                        HttpResponseCheck matches_request,
+                        HttpCallback done) override {
+    matches_request_ = std::move(matches_request);
     exchange(request, limit, std::move(done));
   }
 
   void close() override {
     done_ = nullptr;
-    belongs_ = nullptr;
+    matches_request_ = nullptr;
     shut();
   }
 
@@ -222,7 +223,7 @@
                                   std::string(field.value()));
     }
     answer.body = std::move(message.body());
-    if (belongs_ && !belongs_(answer)) {
+    if (matches_request_ && !matches_request_(answer)) {
       strayed_ = true;
       if (!message.keep_alive()) {
         return fail(HttpFailureKind::kTruncated, "answer to another request");
@@ -231,7 +232,7 @@
       new_parser();
       return buffer_.size() > 0 ? parse() : read_more();
     }
-    belongs_ = nullptr;
+    matches_request_ = nullptr;
     ++answered_;
     last_answer_ = steady_now();
     timer_.cancel();
@@ -250,7 +251,7 @@
   void fail(HttpFailureKind kind, std::string why, bool no_listener = false) {
     HttpCallback done = std::move(done_);
     done_ = nullptr;
-    belongs_ = nullptr;
+    matches_request_ = nullptr;
     shut();
     if (done) done(HttpFailure{kind, std::move(why), no_listener});
   }
@@ -262,7 +263,7 @@
   std::optional<Request> message_;
   std::optional<http::response_parser<http::string_body>> parser_;
   HttpCallback done_;
-  HttpResponseCheck belongs_;
+  HttpResponseCheck matches_request_;
   std::chrono::steady_clock::time_point whole_limit_;
   TimePoint last_answer_;
   std::uint64_t answered_ = 0;
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -51,7 +51,7 @@
   /// Like exchange(), but answers that fail `belongs` are passed over; the
   /// connection is then closed after the answer that passes.
   virtual void exchange_checked(const HttpRequest& request, Duration limit,
-                                HttpResponseCheck belongs,
+                                HttpResponseCheck matches_request,
                                 HttpCallback done) = 0;
   /// Closes at once; no callback is called any more.
   virtual void close() = 0;
--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -162,8 +162,8 @@
                               const std::shared_ptr<HttpExchange>& exchange) {
   std::size_t held = held_.body_bytes() + request.payload->body.size();
   if (held > config::kMaxHeldBodyBytes) {
-    return exchange->answer(to_caller(Outcome::kNotRun, Reason::kQueueFull,
-                                      seconds(1), RequestId()));
+    return exchange->answer(make_caller_response(
+        Outcome::kNotRun, Reason::kQueueFull, seconds(1), RequestId()));
   }
   RequestHead head = request.head;
   RequestId id = held_.add({std::move(request.head),
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -115,7 +115,7 @@
   for (StoredObject& object : page.objects) {
     state.listed.push_back(std::move(object));
   }
-  if (page.more && !last.empty()) return list(name, last);
+  if (page.has_more && !last.empty()) return list(name, last);
   finish_list(name);
 }
 
@@ -187,7 +187,8 @@
 
 void StoreFeed::on_events(ObjectKind name, PageResult result) {
   if (const auto* failure = std::get_if<StoreFailure>(&result)) {
-    return retry(name, *failure, failure->fault == StoreFault::kHistoryGone);
+    return retry(name, *failure,
+                 failure->fault == StoreFailureKind::kHistoryGone);
   }
   sink_(fleet::StoreAnswered());
   const auto& page = std::get<ObjectPage>(result);
@@ -206,7 +207,7 @@
                       bool relist) {
   Kind& state = kind(name);
   ++state.failures;
-  if (failure.fault == StoreFault::kHistoryGone) {
+  if (failure.fault == StoreFailureKind::kHistoryGone) {
     log_line(LogLevel::kWarning,
              {{"event", "store_history_gone"},
               {"as_of", std::to_string(state.as_of.value)}});
@@ -310,10 +311,11 @@
   }
   const auto& failure = std::get<StoreFailure>(result);
   WriteOutcome outcome = WriteOutcome::kUnknown;
-  if (failure.fault == StoreFault::kConflict) outcome = WriteOutcome::kConflict;
-  if (failure.fault == StoreFault::kRefused ||
-      failure.fault == StoreFault::kMissing) {
-    outcome = WriteOutcome::kWriteRefused;
+  if (failure.fault == StoreFailureKind::kConflict)
+    outcome = WriteOutcome::kConflict;
+  if (failure.fault == StoreFailureKind::kRefused ||
+      failure.fault == StoreFailureKind::kMissing) {
+    outcome = WriteOutcome::kNotDone;
   }
   sink_(fleet::MapWriteEnded{service, outcome, Version()});
 }
@@ -327,7 +329,7 @@
                   return;
                 }
                 const auto& failure = std::get<StoreFailure>(result);
-                if (failure.fault == StoreFault::kMissing) {
+                if (failure.fault == StoreFailureKind::kMissing) {
                   sink_(fleet::StoreAnswered());
                   return sink_(fleet::MapMissing{service});
                 }
@@ -348,7 +350,7 @@
       [this, name, again](const ChangeResult& result) {
         const auto* failure = std::get_if<StoreFailure>(&result);
         if (failure == nullptr) return;
-        if (failure->fault != StoreFault::kConflict) return again();
+        if (failure->fault != StoreFailureKind::kConflict) return again();
         store_.read(ObjectKind::kRecords, name,
                     [this, again](const PageResult& read) {
                       const auto* page = std::get_if<ObjectPage>(&read);
--- a/tests/caller_port_test.cc
+++ b/tests/caller_port_test.cc
@@ -10,17 +10,18 @@
 class CallerPortTest : public ::testing::Test {
  protected:
   CallerPortTest()
-      : port_(io_, {[this](const CallerRequest& request,
-                           const std::shared_ptr<HttpExchange>& exchange) {
-                      heads_.push_back(request.head);
-                      if (hold_) {
-                        held_.push_back(exchange);
-                        exchange->on_abandoned([this] { ++gone_; });
-                        return;
-                      }
-                      exchange->answer(to_caller(200, *request.payload));
-                    },
-                    [this] { return healthy_; }}) {
+      : port_(io_,
+              {[this](const CallerRequest& request,
+                      const std::shared_ptr<HttpExchange>& exchange) {
+                 heads_.push_back(request.head);
+                 if (hold_) {
+                   held_.push_back(exchange);
+                   exchange->on_abandoned([this] { ++gone_; });
+                   return;
+                 }
+                 exchange->answer(make_caller_response(200, *request.payload));
+               },
+               [this] { return healthy_; }}) {
     EXPECT_FALSE(port_.server().listen(kAnyPort));
   }
 
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -168,13 +168,14 @@
 };
 
 HttpResult call(const std::string& bytes, bool close,
-                HttpResponseCheck belongs = nullptr) {
+                HttpResponseCheck matches_request = nullptr) {
   boost::asio::io_context io;
   RawServer server(io, bytes, close);
   std::optional<HttpResult> result;
   auto connection = make_http_connection(io, server.endpoint());
   connection->exchange_checked({"GET", "/", {}, "", {}}, seconds(2),
-                               std::move(belongs), [&](HttpResult ended) {
+                               std::move(matches_request),
+                               [&](HttpResult ended) {
                                  result = std::move(ended);
                                  io.stop();
                                });
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -40,7 +40,7 @@
   EXPECT_EQ(settings.fleet.seeds[1], Endpoint("10.2.0.34:7540"));
   EXPECT_EQ(settings.fleet.stop_timeout, milliseconds(6500));
   EXPECT_EQ(settings.fleet.retry_slack, 64u);
-  EXPECT_EQ(settings.unknown, std::vector<std::string>{"some.new.field"});
+  EXPECT_EQ(settings.unknown_names, std::vector<std::string>{"some.new.field"});
 }
 
 TEST(PlatformSettings, MissingAndWrongFieldsAreListedTogether) {
@@ -154,7 +154,7 @@
 }
 
 TEST(PlatformRequests, ReadsACallersFields) {
-  auto read = HeaderFormat().read_caller(caller_request());
+  auto read = HeaderFormat().read_caller_request(caller_request());
   ASSERT_TRUE(ok(read));
   EXPECT_EQ(value(read).host, "a.example");
   EXPECT_EQ(value(read).path, "/x/1");
@@ -170,7 +170,8 @@
     for (auto& [field, content] : request.headers) {
       if (field == name) content = text;
     }
-    EXPECT_FALSE(ok(HeaderFormat().read_caller(request))) << name << text;
+    EXPECT_FALSE(ok(HeaderFormat().read_caller_request(request)))
+        << name << text;
   }
 }
 
@@ -178,7 +179,8 @@
   fleet::SendAttempt attempt;
   attempt.server = ServerName("i-1");
   attempt.time_left = milliseconds(700);
-  io::HttpRequest sent = HeaderFormat().to_server(caller_request(), attempt);
+  io::HttpRequest sent =
+      HeaderFormat().make_server_request(caller_request(), attempt);
   EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMsHeader), "700");
   EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMsHeader), 1u);
   EXPECT_EQ(*io::find_header(sent.headers, kExpectInstanceHeader), "i-1");
@@ -195,7 +197,7 @@
   };
   EXPECT_EQ(result(200, {{kResponseStampHeader, "s"}}),
             AttemptResult::kAnswered);
-  EXPECT_EQ(result(503, {{kNotRun, "1"}}), AttemptResult::kNotRun);
+  EXPECT_EQ(result(503, {{kNotRunHeader, "1"}}), AttemptResult::kNotRun);
   EXPECT_EQ(result(421, {}), AttemptResult::kWrongOwner);
   EXPECT_EQ(result(503, {{kResponseStampHeader, "s"}}),
             AttemptResult::kAnswered);
@@ -207,17 +209,17 @@
 
 TEST(PlatformRequests, AnswersOfOthersDoNotBelong) {
   HeaderFormat format;
-  EXPECT_TRUE(
-      format.belongs("id1", {200, {{kRequestIdHeader, "id1"}}, "", false}));
-  EXPECT_FALSE(
-      format.belongs("id1", {200, {{kRequestIdHeader, "id2"}}, "", false}));
-  EXPECT_FALSE(
-      format.belongs("id1", {200, {{kResponseStampHeader, "s"}}, "", false}));
+  EXPECT_TRUE(format.matches_request(
+      "id1", {200, {{kRequestIdHeader, "id1"}}, "", false}));
+  EXPECT_FALSE(format.matches_request(
+      "id1", {200, {{kRequestIdHeader, "id2"}}, "", false}));
+  EXPECT_FALSE(format.matches_request(
+      "id1", {200, {{kResponseStampHeader, "s"}}, "", false}));
 }
 
 TEST(PlatformRequests, RetryAfterIsNamedInSeconds) {
-  io::HttpResponse answer =
-      HeaderFormat().own_answer("id1", 503, milliseconds(250), "full");
+  io::HttpResponse answer = HeaderFormat().make_router_response(
+      "id1", 503, milliseconds(250), "full");
   EXPECT_EQ(*io::find_header(answer.headers, kRetryAfterHeader), "0.250");
   EXPECT_EQ(io::find_header(answer.headers, kResponseStampHeader), nullptr);
 }
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -333,7 +333,7 @@
     bool wrong = expected == nullptr || *expected != name_ ||
                  (keyed_ && (!key || !holds(static_cast<std::uint32_t>(*key))));
     if (wrong || id == nullptr) {
-      return exchange->answer({421, {{kNotRun, "1"}}, ""});
+      return exchange->answer({421, {{kNotRunHeader, "1"}}, ""});
     }
     ran.push_back(*id);
     if (on_run) {
--- a/tests/store_feed_test.cc
+++ b/tests/store_feed_test.cc
@@ -74,7 +74,7 @@
 TEST_F(StoreFeedTest, WatchesAreShortWhileTheStoreIsSilent) {
   run_until_watches(1);
   Duration usual = watches_[0].wait;
-  watches_[0].done(StoreFailure{StoreFault::kNoAnswer, "silent"});
+  watches_[0].done(StoreFailure{StoreFailureKind::kNoAnswer, "silent"});
   run_until_watches(2);
   EXPECT_LE(watches_[1].wait, milliseconds(100));
   EXPECT_EQ(watches_[1].since, Version(5));
@@ -97,7 +97,7 @@
                    const FleetStore::PageCallback& done) {
         done(ObjectPage{{}, false, Version(9)});
       });
-  watches_[0].done(StoreFailure{StoreFault::kHistoryGone, "410"});
+  watches_[0].done(StoreFailure{StoreFailureKind::kHistoryGone, "410"});
   run_until_watches(2);
   EXPECT_EQ(watches_[1].since, Version(9));
 }
