--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -18,8 +18,8 @@
   bool repeatable = false;
   TimePoint deadline;
   AttemptCallback done;
-  std::shared_ptr<HttpConnection> connection;  ///< Once it is being sent.
-  bool reused = false;
+  std::shared_ptr<HttpConnection> connection;  ///< Null while it waits.
+  bool connection_reused = false;
   bool cancelled = false;
 };
 
@@ -37,43 +37,43 @@
   return {AttemptUnknown{reason, connection_closed}, nullptr};
 }
 
-Duration retry_after(const HttpResponse& answer) {
-  constexpr std::uint64_t kMaxSeconds = 3600;
-  auto count = number_header(answer.headers, "retry-after");
-  return seconds(std::min(count.value_or(0), kMaxSeconds));
+Duration retry_after(const HttpResponse& response) {
+  constexpr std::uint64_t kMaxRetryAfterSeconds = 3600;
+  auto count = number_header(response.headers, "retry-after");
+  return seconds(std::min(count.value_or(0), kMaxRetryAfterSeconds));
 }
 
-AttemptReply read_answer(HttpResponse answer) {
+AttemptReply to_attempt_reply(HttpResponse response) {
   const std::string* refused =
-      find_header(answer.headers, "eelgrasspin-refused");
-  if (refused != nullptr && answer.status == kPreconditionFailed &&
+      find_header(response.headers, "eelgrasspin-refused");
+  if (refused != nullptr && response.status == kPreconditionFailed &&
       *refused == "grant") {
     Epoch newer(
-        number_header(answer.headers, "eelgrasspin-newer-epoch").value_or(0));
+        number_header(response.headers, "eelgrasspin-newer-epoch").value_or(0));
     return {AttemptNotRun{Reason::kGrantRefused, Duration(0), newer}, nullptr};
   }
-  bool shed_status =
-      answer.status == kTooManyRequests || answer.status == kServiceUnavailable;
+  bool shed_status = response.status == kTooManyRequests ||
+                     response.status == kServiceUnavailable;
   if (refused != nullptr && shed_status && *refused == "shed") {
-    return not_run(Reason::kPushback, retry_after(answer));
+    return not_run(Reason::kPushback, retry_after(response));
   }
   auto payload = std::make_shared<Payload>();
-  payload->headers = end_to_end_headers(answer.headers);
-  payload->body = std::move(answer.body);
-  return {AttemptAnswered{static_cast<std::uint16_t>(answer.status),
+  payload->headers = end_to_end_headers(response.headers);
+  payload->body = std::move(response.body);
+  return {AttemptAnswered{static_cast<std::uint16_t>(response.status),
                           payload->body.size()},
           payload};
 }
 
-AttemptReply read_failure(const BackendCallsHttp::Call& call,
+AttemptReply failed_reply(const BackendCallsHttp::Call& call,
                           HttpFailureKind kind) {
   switch (kind) {
     case HttpFailureKind::kRefused:
     case HttpFailureKind::kConnectTimeout:
       return not_run(Reason::kOwnerUnreachable);
     case HttpFailureKind::kTimeout:
-      // A kept connection that stays silent past the server's execution limit
-      // is given up while there is time for a fresh one.
+      // A reused connection without an answer within the server's execution
+      // limit is abandoned while there is time to retry on a new one.
       return unknown(steady_now() < call.deadline ? Reason::kConnectionLost
                                                   : Reason::kTimeoutAfterSend);
     case HttpFailureKind::kClosed:
@@ -84,7 +84,7 @@
   return unknown(Reason::kConnectionLost);
 }
 
-HttpRequest to_message(const OutboundRequest& request, std::string id) {
+HttpRequest make_request(const OutboundRequest& request, std::string id) {
   HttpRequest message{request.head.method, request.head.path, {}, {}, {}};
   if (request.payload) {
     message.headers = end_to_end_headers(request.payload->headers);
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-/// Connections to one backend server, and calls that wait for one.
+/// Connections to one backend server, and calls that wait for a connection.
 class BackendCallsHttp::Pool
     : public std::enable_shared_from_this<BackendCallsHttp::Pool> {
  public:
@@ -116,7 +116,7 @@
 
   void run(std::shared_ptr<Call> call) {
     waiting_.push_back(std::move(call));
-    serve();
+    dispatch_waiting();
   }
 
   void cancel(const std::shared_ptr<Call>& call) {
@@ -125,11 +125,11 @@
     if (call->connection) {
       call->connection->close();
       call->connection.reset();
-      --busy_;
+      --busy_count_;
     } else {
       std::erase(waiting_, call);
     }
-    serve();
+    dispatch_waiting();
   }
 
   void close() {
@@ -139,22 +139,22 @@
   }
 
   std::size_t connections() {
-    drop_dead();
-    return busy_ + idle_.size();
+    remove_expired();
+    return busy_count_ + idle_.size();
   }
 
  private:
-  void drop_dead() {
+  void remove_expired() {
     TimePoint now = steady_now();
     std::erase_if(idle_, [&](const auto& connection) {
-      bool old =
-          now - connection->last_answer() > config::kMaxConnectionReuseAge;
-      if (old) connection->close();
-      return old || !connection->idle();
+      bool expired = now - connection->last_response_time() >
+                     config::kReusableConnectionAge;
+      if (expired) connection->close();
+      return expired || !connection->idle();
     });
   }
 
-  void serve() {
+  void dispatch_waiting() {
     while (!closed_ && !waiting_.empty()) {
       std::shared_ptr<Call> call = waiting_.front();
       if (call->deadline <= steady_now()) {
@@ -162,77 +162,79 @@
         finish(call, not_run(Reason::kDeadlinePassed));
         continue;
       }
-      std::shared_ptr<HttpConnection> connection = take(call->repeatable);
-      if (!connection) return wait();
+      std::shared_ptr<HttpConnection> connection =
+          take_connection(call->repeatable);
+      if (!connection) return schedule_dispatch();
       waiting_.pop_front();
       send(call, connection);
     }
   }
 
-  /// An idle connection fit for the call, a new one if the limits allow it, or
-  /// null.
-  std::shared_ptr<HttpConnection> take(bool repeatable) {
-    drop_dead();
+  /// An idle connection that is fresh enough for the call, a new connection if
+  /// the limits allow one, or null.
+  std::shared_ptr<HttpConnection> take_connection(bool repeatable) {
+    remove_expired();
     TimePoint now = steady_now();
     if (!idle_.empty()) {
-      Duration age = now - idle_.back()->last_answer();
-      if (repeatable || age <= config::kMaxOnceOnlyReuseAge) {
+      Duration age = now - idle_.back()->last_response_time();
+      if (repeatable || age <= config::kVerifiedConnectionAge) {
         std::shared_ptr<HttpConnection> connection = std::move(idle_.back());
         idle_.pop_back();
         return connection;
       }
     }
-    if (now < next_open_) return nullptr;
-    if (busy_ + idle_.size() >= limits_.connections && !idle_.empty()) {
+    if (now < next_connect_time_) return nullptr;
+    if (busy_count_ + idle_.size() >= limits_.connections && !idle_.empty()) {
       idle_.front()->close();
       idle_.erase(idle_.begin());
     }
-    if (busy_ + idle_.size() >= limits_.connections) return nullptr;
-    next_open_ = now + limits_.connection_interval;
+    if (busy_count_ + idle_.size() >= limits_.connections) return nullptr;
+    next_connect_time_ = now + limits_.connection_interval;
     return make_http_connection(io_, server_);
   }
 
-  void wait() {
+  void schedule_dispatch() {
     TimePoint until = waiting_.front()->deadline;
-    if (next_open_ > steady_now()) until = std::min(until, next_open_);
+    if (next_connect_time_ > steady_now())
+      until = std::min(until, next_connect_time_);
     timer_.expires_at(
         std::chrono::steady_clock::time_point(until.time_since_epoch()));
     timer_.async_wait(
         [self = shared_from_this()](boost::system::error_code failed) {
-          if (!failed) self->serve();
+          if (!failed) self->dispatch_waiting();
         });
   }
 
   void send(const std::shared_ptr<Call>& call,
             const std::shared_ptr<HttpConnection>& connection) {
-    ++busy_;
+    ++busy_count_;
     call->connection = connection;
-    call->reused = connection->answered() > 0;
+    call->connection_reused = connection->response_count() > 0;
     Duration limit = call->deadline - steady_now();
-    if (call->reused && call->repeatable) {
+    if (call->connection_reused && call->repeatable) {
       limit = std::min(limit, limits_.execution_limit);
     }
     connection->exchange(call->message, limit,
                          [self = shared_from_this(), call](HttpResult result) {
-                           self->on_result(call, std::move(result));
+                           self->handle_result(call, std::move(result));
                          });
   }
 
-  void on_result(const std::shared_ptr<Call>& call, HttpResult result) {
+  void handle_result(const std::shared_ptr<Call>& call, HttpResult result) {
     if (call->cancelled) return;
-    --busy_;
+    --busy_count_;
     std::shared_ptr<HttpConnection> connection = std::move(call->connection);
     call->connection.reset();
     if (connection->idle() && !closed_) idle_.push_back(connection);
     if (const auto* failure = std::get_if<HttpFailure>(&result)) {
-      // The other kept connections may be dead or silent as well.
-      for (const auto& kept : idle_) kept->close();
+      // The other idle connections may be dead or stalled as well.
+      for (const auto& other : idle_) other->close();
       idle_.clear();
-      finish(call, read_failure(*call, failure->kind));
+      finish(call, failed_reply(*call, failure->kind));
     } else {
-      finish(call, read_answer(std::move(std::get<HttpResponse>(result))));
+      finish(call, to_attempt_reply(std::move(std::get<HttpResponse>(result))));
     }
-    serve();
+    dispatch_waiting();
   }
 
   static void finish(const std::shared_ptr<Call>& call, AttemptReply reply) {
@@ -245,20 +247,21 @@
   Endpoint server_;
   asio::steady_timer timer_;
   ServerLimits limits_;
-  std::vector<std::shared_ptr<HttpConnection>> idle_;  ///< Freshest last.
+  /// The most recently used one is last.
+  std::vector<std::shared_ptr<HttpConnection>> idle_;
   std::deque<std::shared_ptr<Call>> waiting_;
-  std::size_t busy_ = 0;
-  TimePoint next_open_;
+  std::size_t busy_count_ = 0;
+  TimePoint next_connect_time_;
   bool closed_ = false;
 };
 
-BackendCallsHttp::BackendCallsHttp(asio::io_context& io, std::string run_name)
-    : io_(io), run_name_(std::move(run_name)) {}
+BackendCallsHttp::BackendCallsHttp(asio::io_context& io, std::string id_prefix)
+    : io_(io), id_prefix_(std::move(id_prefix)) {}
 
 BackendCallsHttp::~BackendCallsHttp() {
   for (const auto& [server, pool] : pools_) pool->close();
-  for (const auto& [attempt, held] : calls_) {
-    if (std::shared_ptr<Call> call = held.lock()) {
+  for (const auto& [attempt, weak_call] : calls_) {
+    if (std::shared_ptr<Call> call = weak_call.lock()) {
       pools_[call->server]->cancel(call);
     }
   }
@@ -276,7 +279,7 @@
   auto call = std::make_shared<Call>();
   call->attempt = attempt;
   call->message =
-      to_message(request, run_name_ + "-" + std::to_string(attempt.value));
+      make_request(request, id_prefix_ + "-" + std::to_string(attempt.value));
   call->repeatable = request.repeatable;
   call->deadline = steady_now() + request.time_left;
   call->done = [this, attempt, done = std::move(done)](AttemptReply reply) {
--- a/src/io/backend_calls_http.h
+++ b/src/io/backend_calls_http.h
@@ -12,20 +12,22 @@
 
 namespace eelgrasspin::io {
 
-/// What a backend server accepts, from its declaration.
+/// Limits of one backend server, from its declaration.
 struct ServerLimits {
-  std::size_t connections = 16;  ///< This daemon's share.
+  std::size_t connections = 16;  ///< Share of this daemon.
+  /// Least time between two new connections.
   Duration connection_interval = milliseconds(1);
+  /// Longest time that the server works on a request.
   Duration execution_limit = seconds(1);
 };
 
-/// Requests to backend servers over kept HTTP/1.1 connections, within each
-/// server's connection limits.
+/// Sends requests to backend servers over persistent HTTP/1.1 connections,
+/// within each server's connection limits.
 class BackendCallsHttp : public BackendCalls {
  public:
-  /// `run_name` makes the ids in the eelgrasspin-request field differ between
-  /// daemons and runs.
-  BackendCallsHttp(boost::asio::io_context& io, std::string run_name);
+  /// `id_prefix` starts every id in the eelgrasspin-request field. It must
+  /// differ between daemons and between incarnations of one daemon.
+  BackendCallsHttp(boost::asio::io_context& io, std::string id_prefix);
   ~BackendCallsHttp() override;
 
   void run(AttemptId attempt, const Endpoint& server,
@@ -33,7 +35,7 @@
   void cancel(AttemptId attempt) override;
 
   void set_limits(const Endpoint& server, const ServerLimits& limits);
-  /// Connections now open to a server, idle ones included.
+  /// Number of open connections to a server, idle ones included.
   std::size_t connections(const Endpoint& server) const;
 
   class Pool;
@@ -43,7 +45,7 @@
   Pool& pool(const Endpoint& server);
 
   boost::asio::io_context& io_;
-  std::string run_name_;
+  std::string id_prefix_;
   std::map<Endpoint, std::shared_ptr<Pool>> pools_;
   std::map<AttemptId, std::weak_ptr<Call>> calls_;
 };
--- a/src/io/backend_control_http.cc
+++ b/src/io/backend_control_http.cc
@@ -12,11 +12,11 @@
   if (const auto* failure = std::get_if<HttpFailure>(&result)) {
     return GrantUnreachable{failure->kind == HttpFailureKind::kRefused};
   }
-  const auto& answer = std::get<HttpResponse>(result);
-  if (answer.status != kOk && answer.status != kConflict) {
+  const auto& response = std::get<HttpResponse>(result);
+  if (response.status != kOk && response.status != kConflict) {
     return GrantUnreachable{};
   }
-  Result<GrantReply> reply = codec::decode_grant_reply(answer.body);
+  Result<GrantReply> reply = codec::decode_grant_reply(response.body);
   if (!ok(reply)) return GrantUnreachable{};
   return value(reply);
 }
--- a/src/io/backend_control_http.h
+++ b/src/io/backend_control_http.h
@@ -9,8 +9,8 @@
 
 namespace eelgrasspin::io {
 
-/// Grant orders over HTTP: POST /-/grant on the server's own port. One kept
-/// connection for each server.
+/// Sends grant orders over HTTP: POST /-/grant to the server's own port. Keeps
+/// one client per server.
 class BackendControlHttp : public BackendServerControl {
  public:
   explicit BackendControlHttp(boost::asio::io_context& io) : io_(io) {}
--- a/src/io/backend_pool.cc
+++ b/src/io/backend_pool.cc
@@ -10,81 +10,87 @@
 
 namespace {
 
-/// Time that servers keep an idle connection if they name none.
-constexpr Duration kDefaultKeep = seconds(4);
-/// Shares of the named time after which an idle connection is not used again:
-/// the server may close it while a request is on its way.
-constexpr double kRepeatableShare = 0.8;
-constexpr double kOnceShare = 0.5;
+/// Time for which a server keeps an idle connection open if it names none.
+constexpr Duration kDefaultKeepAlive = seconds(4);
+/// Shares of the server's keep-alive time after which an idle connection is not
+/// reused, as the server may close it while a request is on its way: for
+/// repeatable requests, and for those that may run only once.
+constexpr double kRepeatableKeepAliveShare = 0.8;
+constexpr double kRunOnceKeepAliveShare = 0.5;
 constexpr std::size_t kMaxIdlePerServer = 8;
-/// A connection that is reset at its next request after a shorter rest was not
-/// forgotten: its server ended or was full.
-constexpr Duration kLeastRest = milliseconds(100);
-/// Share of the rest after which a connection was forgotten that a request
-/// which may run once risks, for this long.
-constexpr double kForgottenShare = 0.5;
-constexpr Duration kForgottenMemory = seconds(10);
-
-Duration keep_time(const HttpResponse& answer) {
-  const std::string* field = find_header(answer.headers, "keep-alive");
-  if (field == nullptr) return kDefaultKeep;
-  constexpr std::string_view kName = "timeout=";
-  auto at = field->find(kName);
-  if (at == std::string::npos) return kDefaultKeep;
+/// A connection that is reset after a shorter idle time was not stale: its
+/// server ended or was at capacity.
+constexpr Duration kMinStaleIdleTime = milliseconds(100);
+/// A request that may run only once reuses a connection only up to this share
+/// of the idle time after which another connection was stale ...
+constexpr double kRunOnceStaleShare = 0.5;
+/// ... for this long after that was seen.
+constexpr Duration kStaleRecordLifetime = seconds(10);
+
+Duration keep_alive_of(const HttpResponse& response) {
+  const std::string* field = find_header(response.headers, "keep-alive");
+  if (field == nullptr) return kDefaultKeepAlive;
+  constexpr std::string_view kTimeoutParameter = "timeout=";
+  auto position = field->find(kTimeoutParameter);
+  if (position == std::string::npos) return kDefaultKeepAlive;
   std::string_view digits = *field;
-  digits.remove_prefix(at + kName.size());
+  digits.remove_prefix(position + kTimeoutParameter.size());
   digits = digits.substr(0, digits.find_first_not_of("0123456789"));
-  auto named = parse_number(digits);
-  if (!named) return kDefaultKeep;
+  auto timeout_seconds = parse_number(digits);
+  if (!timeout_seconds) return kDefaultKeepAlive;
   return seconds(
-      static_cast<std::int64_t>(std::min<std::uint64_t>(*named, 60)));
+      static_cast<std::int64_t>(std::min<std::uint64_t>(*timeout_seconds, 60)));
 }
 
 }  // namespace
 
 BackendPool::~BackendPool() {
   for (const auto& [number, busy] : busy_) busy.connection->close();
-  for (const auto& [address, kept] : idle_) {
-    for (const Idle& idle : kept) idle.connection->close();
+  for (const auto& [address, idle_connections] : idle_) {
+    for (const Idle& idle : idle_connections) idle.connection->close();
   }
 }
 
-Duration BackendPool::longest_rest(const Idle& idle, bool repeatable,
-                                   TimePoint now) const {
-  if (repeatable) return scaled(idle.keep_for, kRepeatableShare);
-  Duration rest = scaled(idle.keep_for, kOnceShare);
-  bool known =
-      forgotten_after_.count() > 0 && now - forgotten_at_ < kForgottenMemory;
-  return known ? std::min(rest, scaled(forgotten_after_, kForgottenShare))
-               : rest;
+Duration BackendPool::max_idle_time(const Idle& idle, bool repeatable,
+                                    TimePoint now) const {
+  if (repeatable) return scaled(idle.keep_alive, kRepeatableKeepAliveShare);
+  Duration max_time = scaled(idle.keep_alive, kRunOnceKeepAliveShare);
+  bool recently_stale =
+      stale_after_.count() > 0 && now - stale_seen_at_ < kStaleRecordLifetime;
+  return recently_stale
+             ? std::min(max_time, scaled(stale_after_, kRunOnceStaleShare))
+             : max_time;
 }
 
-BackendPool::Busy BackendPool::take(const Endpoint& address, bool repeatable) {
-  std::vector<Idle>& kept = idle_[address];
+BackendPool::Busy BackendPool::take_connection(const Endpoint& address,
+                                               bool repeatable) {
+  std::vector<Idle>& idle_connections = idle_[address];
   TimePoint now = steady_now();
-  // The one used last is the youngest, and the likeliest to be alive.
-  while (!kept.empty()) {
-    Duration rested = now - kept.back().connection->last_answer();
-    bool alive = kept.back().connection->idle() &&
-                 rested < longest_rest(kept.back(), true, now);
-    if (alive && rested >= longest_rest(kept.back(), repeatable, now)) {
-      break;  // Too risky for this request; a repeatable one may use it.
+  // The most recently used connection is the most likely to be alive.
+  while (!idle_connections.empty()) {
+    Duration idle_time =
+        now - idle_connections.back().connection->last_response_time();
+    bool alive = idle_connections.back().connection->idle() &&
+                 idle_time < max_idle_time(idle_connections.back(), true, now);
+    if (alive &&
+        idle_time >= max_idle_time(idle_connections.back(), repeatable, now)) {
+      break;  // Too old for this request; a repeatable one may still use it.
     }
-    Idle idle = std::move(kept.back());
-    kept.pop_back();
-    if (alive) return {std::move(idle.connection), rested};
+    Idle idle = std::move(idle_connections.back());
+    idle_connections.pop_back();
+    if (alive) return {std::move(idle.connection), idle_time};
     idle.connection->close();
   }
-  ++made_;
+  ++connections_made_;
   return {make_http_connection(io_, address), Duration(0)};
 }
 
 std::uint64_t BackendPool::start(Call call, HttpCallback done) {
-  std::uint64_t number = next_++;
-  Busy busy = take(call.address, call.repeatable);
+  std::uint64_t number = next_number_++;
+  Busy busy = take_connection(call.address, call.repeatable);
   busy_[number] = busy;
   busy.connection->exchange_checked(
-      call.request, call.limit, std::move(call.matches_request),
+      call.request, call.timeout, std::move(call.matches_request),
       [this, number, address = call.address,
        done = std::move(done)](HttpResult result) {
         finish(number, address, result);
@@ -99,33 +105,36 @@
   if (found == busy_.end()) return;
   Busy busy = std::move(found->second);
   busy_.erase(found);
-  learn_rest(busy, result);
+  record_stale_connection(busy, result);
   std::shared_ptr<HttpConnection> connection = std::move(busy.connection);
-  std::vector<Idle>& kept = idle_[address];
-  const auto* answer = std::get_if<HttpResponse>(&result);
-  if (answer == nullptr) {
-    // The others may have gone silent as well.
-    for (const Idle& idle : kept) idle.connection->close();
-    kept.clear();
-  } else if (connection->idle() && kept.size() < kMaxIdlePerServer) {
-    kept.push_back({std::move(connection), keep_time(*answer)});
+  std::vector<Idle>& idle_connections = idle_[address];
+  const auto* response = std::get_if<HttpResponse>(&result);
+  if (response == nullptr) {
+    // The other idle connections may be stalled as well.
+    for (const Idle& idle : idle_connections) idle.connection->close();
+    idle_connections.clear();
+  } else if (connection->idle() &&
+             idle_connections.size() < kMaxIdlePerServer) {
+    idle_connections.push_back(
+        {std::move(connection), keep_alive_of(*response)});
   } else {
     connection->close();
   }
 }
 
-void BackendPool::learn_rest(const Busy& busy, const HttpResult& result) {
+void BackendPool::record_stale_connection(const Busy& busy,
+                                          const HttpResult& result) {
   const auto* failure = std::get_if<HttpFailure>(&result);
   if (failure == nullptr || failure->kind != HttpFailureKind::kClosed ||
-      busy.rested < kLeastRest) {
+      busy.idle_time < kMinStaleIdleTime) {
     return;
   }
   TimePoint now = steady_now();
-  bool known =
-      forgotten_after_.count() > 0 && now - forgotten_at_ < kForgottenMemory;
-  forgotten_after_ =
-      known ? std::min(forgotten_after_, busy.rested) : busy.rested;
-  forgotten_at_ = now;
+  bool recently_stale =
+      stale_after_.count() > 0 && now - stale_seen_at_ < kStaleRecordLifetime;
+  stale_after_ =
+      recently_stale ? std::min(stale_after_, busy.idle_time) : busy.idle_time;
+  stale_seen_at_ = now;
 }
 
 void BackendPool::cancel(std::uint64_t number) {
@@ -135,15 +144,15 @@
   busy_.erase(found);
 }
 
-void BackendPool::drop_old() {
+void BackendPool::close_expired() {
   TimePoint now = steady_now();
   for (auto it = idle_.begin(); it != idle_.end();) {
     std::erase_if(it->second, [now](const Idle& idle) {
-      bool old = !idle.connection->idle() ||
-                 now - idle.connection->last_answer() >
-                     scaled(idle.keep_for, kRepeatableShare);
-      if (old) idle.connection->close();
-      return old;
+      bool expired = !idle.connection->idle() ||
+                     now - idle.connection->last_response_time() >
+                         scaled(idle.keep_alive, kRepeatableKeepAliveShare);
+      if (expired) idle.connection->close();
+      return expired;
     });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
   }
--- a/src/io/backend_pool.h
+++ b/src/io/backend_pool.h
@@ -11,15 +11,15 @@
 
 namespace eelgrasspin::io {
 
-/// Kept connections to backend servers. Each exchange has a connection to
-/// itself; one on which anything went wrong is not used again.
+/// Pool of persistent connections to backend servers. A connection carries one
+/// exchange at a time; after a failure it is not reused.
 class BackendPool {
  public:
   struct Call {
     HttpRequest request;
     Endpoint address;
-    Duration limit{0};
-    /// May run twice: an older kept connection may be risked.
+    Duration timeout{0};
+    /// May run more than once, so that a longer idle connection may be used.
     bool repeatable = false;
     HttpResponseCheck matches_request;
   };
@@ -31,37 +31,38 @@
 
   /// Returns the call's number for cancel().
   std::uint64_t start(Call call, HttpCallback done);
-  /// Closes the call's connection; its callback is not called any more.
+  /// Closes the call's connection; its callback will not be called.
   void cancel(std::uint64_t number);
-  /// Closes idle connections that the servers are about to close.
-  void drop_old();
-  std::uint64_t connections_made() const { return made_; }
+  /// Closes idle connections that their servers are about to close.
+  void close_expired();
+  std::uint64_t connections_made() const { return connections_made_; }
 
  private:
   struct Idle {
     std::shared_ptr<HttpConnection> connection;
-    Duration keep_for{0};  ///< As the server named it.
+    Duration keep_alive{0};  ///< Idle time after which the server closes it.
   };
   struct Busy {
     std::shared_ptr<HttpConnection> connection;
-    Duration rested{0};  ///< Idle for this long before; 0 if it is new.
+    Duration idle_time{0};  ///< Before this call; 0 for a new connection.
   };
-  Busy take(const Endpoint& address, bool repeatable);
-  /// Longest rest after which a connection is used again.
-  Duration longest_rest(const Idle& idle, bool repeatable, TimePoint now) const;
+  Busy take_connection(const Endpoint& address, bool repeatable);
+  /// Longest idle time after which a connection is reused.
+  Duration max_idle_time(const Idle& idle, bool repeatable,
+                         TimePoint now) const;
   void finish(std::uint64_t number, const Endpoint& address,
               const HttpResult& result);
-  void learn_rest(const Busy& busy, const HttpResult& result);
+  void record_stale_connection(const Busy& busy, const HttpResult& result);
 
   boost::asio::io_context& io_;
   std::map<Endpoint, std::vector<Idle>> idle_;
   std::map<std::uint64_t, Busy> busy_;
-  /// The shortest rest after which a connection turned out to be forgotten by
-  /// its server, and when that was seen last.
-  Duration forgotten_after_{0};
-  TimePoint forgotten_at_;
-  std::uint64_t next_ = 1;
-  std::uint64_t made_ = 0;
+  /// Shortest recent idle time after which a server had dropped a connection
+  /// without closing it (0: none), and when that was last seen.
+  Duration stale_after_{0};
+  TimePoint stale_seen_at_;
+  std::uint64_t next_number_ = 1;
+  std::uint64_t connections_made_ = 0;
 };
 
 }  // namespace eelgrasspin::io
--- a/src/io/caller_http.h
+++ b/src/io/caller_http.h
@@ -14,28 +14,29 @@
 #include "eelgrasspin/transport.h"
 #include "io/http_server.h"
 
-/// The callers' side in HTTP.
+/// HTTP interface for callers.
 namespace eelgrasspin::io {
 
-/// A caller's request that is well-formed.
+/// A well-formed request of a caller.
 struct CallerRequest {
   RequestHead head;
   std::shared_ptr<const Payload> payload;
 };
 
-/// Reads /<service>/<path...> and the caller's fields. The text says what is
-/// wrong.
+/// Reads the target /<service>/<path...> and the caller's header fields. On
+/// failure the result is a text that says what is wrong.
 std::variant<CallerRequest, std::string> read_caller_request(
     HttpRequest request);
 
-/// The answer of a backend server, marked as answered.
+/// Response that relays a backend server's answer, with the outcome "answered".
 HttpResponse make_caller_response(std::uint16_t status, const Payload& payload);
-/// A refusal or unknown outcome. `request` 0 if the request got no id.
+/// Response for a request that was refused or whose outcome is unknown.
+/// `request` is 0 if the request got no id.
 HttpResponse make_caller_response(Outcome outcome, Reason reason,
                                   Duration retry_after, RequestId request,
                                   const std::string& message = {});
 
-/// Port for callers.
+/// HTTP port for callers' requests and the health check.
 class CallerPort {
  public:
   struct Handlers {
--- a/src/io/endpoint.cc
+++ b/src/io/endpoint.cc
@@ -32,7 +32,7 @@
   return Endpoint(host + ":" + std::to_string(endpoint.port()));
 }
 
-std::string address_of(const Endpoint& endpoint) {
+std::string ip_address_of(const Endpoint& endpoint) {
   return endpoint.str().substr(0, endpoint.str().rfind(':'));
 }
 
--- a/src/io/endpoint.h
+++ b/src/io/endpoint.h
@@ -8,12 +8,12 @@
 
 namespace eelgrasspin::io {
 
-/// Empty if the text is not an IP number with a port.
+/// Empty if the text is not an IP address with a port.
 std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(
     const Endpoint& endpoint);
 Endpoint to_endpoint(const boost::asio::ip::tcp::endpoint& endpoint);
-/// The IP number alone.
-std::string address_of(const Endpoint& endpoint);
+/// The IP address without the port.
+std::string ip_address_of(const Endpoint& endpoint);
 
 }  // namespace eelgrasspin::io
 
--- a/src/io/fleet_ports.h
+++ b/src/io/fleet_ports.h
@@ -14,10 +14,10 @@
 #include "io/http_client.h"
 #include "io/http_types.h"
 
-/// What a fleet daemon needs of the platform it runs on.
+/// Interfaces through which a fleet daemon uses the platform it runs on.
 namespace eelgrasspin::fleet {
 
-/// A server's answer, kept until its caller is sent it.
+/// A server's answer, kept until it is sent to the caller.
 struct ServerAnswer {
   io::HttpResponse http;
 };
@@ -26,14 +26,14 @@
 
 namespace eelgrasspin::io {
 
-/// What the store holds, by who writes it.
+/// Kinds of objects in the store, by their writer.
 enum class ObjectKind : std::uint8_t {
-  kConfiguration,  ///< The operator's.
-  kServers,        ///< The backend servers' own entries.
-  kRecords,        ///< This system's.
+  kConfiguration,  ///< Written by the operator.
+  kServers,        ///< Entries that backend servers write about themselves.
+  kRecords,        ///< Records that this system's daemons write.
 };
 
-/// An object that cannot be read as what its kind says.
+/// An object that cannot be decoded as its kind requires.
 struct UnreadableObject {
   std::string why;
 };
@@ -53,20 +53,20 @@
 
 struct ObjectPage {
   std::vector<StoredObject> objects;
-  bool has_more = false;  ///< Listing goes on after the last name.
-  Version as_of;          ///< The store's revision.
+  bool has_more = false;  ///< The list continues after the last name.
+  Version as_of;          ///< Revision of the store that the page reflects.
 };
 
 enum class StoreFailureKind : std::uint8_t {
-  kNoAnswer,     ///< A change may have been made, or may be made later.
-  kRefused,      ///< Nothing was done.
-  kHistoryGone,  ///< Changes since that revision are no longer known.
+  kNoAnswer,     ///< A write may have been applied, or may be applied later.
+  kRefused,      ///< Nothing was written.
+  kHistoryGone,  ///< The store no longer knows the changes since the revision.
   kConflict,     ///< The object is not at the expected revision.
   kMissing,      ///< There is no such object.
 };
 
 struct StoreFailure {
-  StoreFailureKind fault = StoreFailureKind::kNoAnswer;
+  StoreFailureKind kind = StoreFailureKind::kNoAnswer;
   std::string why;
 };
 
@@ -74,28 +74,32 @@
 /// The object's new revision.
 using ChangeResult = std::variant<Version, StoreFailure>;
 
-/// The platform's store. Each call answers once and is paid for.
+/// The platform's store. Each call ends in exactly one callback. The platform
+/// charges for each call.
 class FleetStore {
  public:
   using PageCallback = std::function<void(PageResult)>;
   using ChangeCallback = std::function<void(ChangeResult)>;
 
   virtual ~FleetStore() = default;
-  /// Objects of a kind whose names come after `after`, in the order of names.
+  /// Lists the objects of a kind with names after `after`, in order of names.
   virtual void list(ObjectKind kind, const std::string& after,
                     PageCallback done) = 0;
-  /// Changes since a revision; waits for one for at most `wait`.
+  /// Returns the changes since a revision. If there are none, waits for one for
+  /// at most `wait`.
   virtual void watch(ObjectKind kind, Version since, Duration wait,
                      PageCallback done) = 0;
   virtual void read(ObjectKind kind, const std::string& name,
                     PageCallback done) = 0;
+  /// Creates a record; kConflict if it exists.
   virtual void create_record(const std::string& name, const std::string& text,
                              ChangeCallback done) = 0;
+  /// Replaces a record; kConflict if its revision is not `expected`.
   virtual void replace_record(const std::string& name, Version expected,
                               const std::string& text, ChangeCallback done) = 0;
 };
 
-/// Orders to backend servers about the keys they hold.
+/// Sends orders to backend servers about the keys they hold.
 class KeyOrders {
  public:
   using Callback = std::function<void(fleet::OrderEnded)>;
@@ -105,32 +109,35 @@
   virtual void release(const fleet::ReleaseKeys& order, Callback done) = 0;
 };
 
-/// What a caller's request says to the router.
+/// The parts of a caller's request that routing needs.
 struct CallerRequestHead {
-  std::string caller_request_id;
+  std::string caller_request_id;  ///< Chosen by the caller; may be empty.
   std::string host;
   std::string path;
   std::optional<fleet::ShardKey> key;
   std::optional<Duration> deadline;
 };
 
-/// The header fields that callers, this system and the servers agree on.
+/// Reads and writes the header fields that callers, this system and the backend
+/// servers have agreed on.
 class RequestFormat {
  public:
   virtual ~RequestFormat() = default;
-  /// An error says what is wrong with the request.
+  /// Reads a caller's request; an error says what is wrong with it.
   virtual Result<CallerRequestHead> read_caller_request(
       const HttpRequest& request) const = 0;
-  /// The caller's request as it is passed on.
+  /// Builds the request that is forwarded to the server of `attempt`.
   virtual HttpRequest make_server_request(
       const HttpRequest& request, const fleet::SendAttempt& attempt) const = 0;
+  /// Whether a server's response belongs to the request with this id.
   virtual bool matches_request(const std::string& caller_request_id,
-                               const HttpResponse& answer) const = 0;
-  /// What an answer says of the request that was sent.
-  virtual fleet::AttemptEnded classify(HttpResponse answer) const = 0;
+                               const HttpResponse& response) const = 0;
+  /// Tells from a server's response how the attempt ended.
+  virtual fleet::AttemptEnded classify(HttpResponse response) const = 0;
+  /// Builds the response that relays a server's answer to the caller.
   virtual HttpResponse make_caller_response(
       const fleet::ServerAnswer& answer) const = 0;
-  /// An answer of this system's own.
+  /// Builds a response of this system's own. `retry_after` 0: none is named.
   virtual HttpResponse make_router_response(
       const std::string& caller_request_id, int status, Duration retry_after,
       std::string_view reason) const = 0;
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -20,17 +20,17 @@
 
 namespace {
 
-constexpr std::size_t kMaxDatagram = 60'000;
-/// Lines of one kind in a second: twice the requests of a busy daemon.
-constexpr std::uint32_t kLogLinesPerSecond = 100;
-/// Between two looks for connections that have grown too old.
-constexpr Duration kSweepInterval = seconds(1);
-/// Before the process is killed it ends by itself.
+constexpr std::size_t kMaxDatagramBytes = 60'000;
+/// Twice the requests per second of a busy daemon.
+constexpr std::uint32_t kMaxLogLinesPerKindPerSecond = 100;
+/// Interval of closing expired connections and logging dropped log lines.
+constexpr Duration kCleanupInterval = seconds(1);
+/// The process ends by itself this long before the platform kills it.
 constexpr Duration kStopMargin = milliseconds(150);
 
-/// Counts time that the machine was suspended, so that every limit is over
-/// after a long suspension.
-TimePoint boot_now() {
+/// This clock includes the time that the machine was suspended, so that every
+/// time limit has passed after a long suspension.
+TimePoint boottime_now() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
   return TimePoint(seconds(now.tv_sec) +
@@ -38,16 +38,16 @@
                        std::chrono::nanoseconds(now.tv_nsec)));
 }
 
-/// Of the caller's machine, the target and the body.
+/// Hash of the caller's IP address, the method, the target and the body.
 fleet::Fingerprint fingerprint_of(const HttpRequest& request) {
-  std::string text = address_of(request.remote) + ' ' + request.method + ' ' +
-                     request.target + ' ' + request.body;
+  std::string text = ip_address_of(request.remote) + ' ' + request.method +
+                     ' ' + request.target + ' ' + request.body;
   return fleet::Fingerprint(XXH64(text.data(), text.size(), 0));
 }
 
-HttpServerOptions options_of_callers(const RequestFormat& format) {
+HttpServerOptions caller_server_options(const RequestFormat& format) {
   HttpServerOptions options;
-  options.refusal = [&format](int status, const std::string& why) {
+  options.make_refusal = [&format](int status, const std::string& why) {
     return format.make_router_response({}, status, Duration(0), why);
   };
   return options;
@@ -57,34 +57,35 @@
 
 FleetShell::FleetShell(asio::io_context& io, fleet::Settings settings,
                        ListenAddresses addresses, FleetStore& store,
-                       KeyOrders& orders, const RequestFormat& format,
-                       std::function<void()> stopped)
+                       KeyOrders& key_orders, const RequestFormat& format,
+                       std::function<void()> on_stopped)
     : io_(io),
       settings_(std::move(settings)),
       addresses_(std::move(addresses)),
-      orders_(orders),
+      key_orders_(key_orders),
       format_(format),
-      stopped_(std::move(stopped)),
-      state_(fleet::make_state(settings_, boot_now())),
-      feed_(io, store, settings_,
-            [this](const fleet::Event& event) { apply(event); }),
+      on_stopped_(std::move(on_stopped)),
+      state_(fleet::make_state(settings_, boottime_now())),
+      store_feed_(io, store, settings_,
+                  [this](const fleet::Event& event) { apply(event); }),
       pool_(io),
-      callers_(io, options_of_callers(format),
-               [this](const std::shared_ptr<HttpExchange>& exchange) {
-                 on_exchange(exchange);
-               }),
-      ready_(io, {},
-             [this](const std::shared_ptr<HttpExchange>& exchange) {
-               exchange->answer({fleet::is_ready(state_) ? 200 : 503, {}, {}});
-             }),
-      metrics_(io, {},
-               [this](const std::shared_ptr<HttpExchange>& exchange) {
-                 on_metrics(exchange);
-               }),
-      peers_(io),
-      datagram_(kMaxDatagram),
-      timer_(io),
-      log_budget_(kLogLinesPerSecond) {}
+      caller_server_(io, caller_server_options(format),
+                     [this](const std::shared_ptr<HttpExchange>& exchange) {
+                       on_exchange(exchange);
+                     }),
+      ready_server_(
+          io, {},
+          [this](const std::shared_ptr<HttpExchange>& exchange) {
+            exchange->answer({fleet::is_ready(state_) ? 200 : 503, {}, {}});
+          }),
+      metrics_server_(io, {},
+                      [this](const std::shared_ptr<HttpExchange>& exchange) {
+                        on_metrics(exchange);
+                      }),
+      peer_socket_(io),
+      datagram_(kMaxDatagramBytes),
+      tick_timer_(io),
+      log_limiter_(kMaxLogLinesPerKindPerSecond) {}
 
 std::vector<Error> FleetShell::bind() {
   std::vector<Error> errors;
@@ -92,24 +93,25 @@
     if (endpoint.empty()) return;
     if (auto failed = server.listen(endpoint)) errors.push_back(*failed);
   };
-  listen(ready_, addresses_.ready);
-  listen(metrics_, addresses_.metrics);
+  listen(ready_server_, addresses_.ready);
+  listen(metrics_server_, addresses_.metrics);
   auto peer = parse_endpoint(settings_.self.peer);
   error_code failed;
   if (!peer) {
-    errors.push_back({ErrorCode::kInvalid, "no address for other daemons"});
+    errors.push_back(
+        {ErrorCode::kInvalid, "no valid address for other daemons"});
   } else {
     udp::endpoint local(peer->address(), peer->port());
-    peers_.open(local.protocol(), failed);
-    if (!failed) peers_.non_blocking(true, failed);
-    if (!failed) peers_.bind(local, failed);
+    peer_socket_.open(local.protocol(), failed);
+    if (!failed) peer_socket_.non_blocking(true, failed);
+    if (!failed) peer_socket_.bind(local, failed);
     if (failed) {
       errors.push_back({ErrorCode::kUnavailable, "cannot bind " +
                                                      settings_.self.peer.str() +
                                                      ": " + failed.message()});
     }
   }
-  listen(callers_, addresses_.callers);
+  listen(caller_server_, addresses_.callers);
   return errors;
 }
 
@@ -121,15 +123,15 @@
             {"zone", settings_.self.zone.str()},
             {"callers", addresses_.callers.str()},
             {"peer", settings_.self.peer.str()}});
-  last_tick_ = boot_now();
-  clock_gap_ = boot_now() - steady_now();
+  last_tick_ = boottime_now();
+  suspended_time_ = boottime_now() - steady_now();
   receive_datagram();
-  feed_.start();
+  store_feed_.start();
   tick();
 }
 
 void FleetShell::apply(const fleet::Event& event) {
-  fleet::Effects effects = fleet::reduce(state_, event, boot_now());
+  fleet::Effects effects = fleet::reduce(state_, event, boottime_now());
   for (const fleet::Effect& effect : effects) execute(effect);
 }
 
@@ -138,18 +140,19 @@
       Overloaded{
           [this](const fleet::SendAttempt& e) { send_attempt(e); },
           [this](const fleet::CancelAttempt& e) {
-            auto call = calls_.find(e.id);
-            if (call == calls_.end()) return;
+            auto call = attempt_calls_.find(e.id);
+            if (call == attempt_calls_.end()) return;
             pool_.cancel(call->second);
-            calls_.erase(call);
+            attempt_calls_.erase(call);
           },
           [this](const fleet::RelayAnswer& e) {
             answer(e.request, format_.make_caller_response(*e.answer));
           },
           [this](const fleet::AnswerCaller& e) {
-            auto open = open_.find(e.request);
+            auto open = open_requests_.find(e.request);
             std::string caller_request_id =
-                open == open_.end() ? "" : open->second.caller_request_id;
+                open == open_requests_.end() ? ""
+                                             : open->second.caller_request_id;
             answer(e.request,
                    format_.make_router_response(caller_request_id, e.status,
                                                 e.retry_after, e.reason));
@@ -164,20 +167,21 @@
             send_datagrams(codec::encode_map_change(e.change), e.to);
           },
           [this](const fleet::SendStoreUpdate& e) {
-            // The others see by heartbeats that they miss one that is too long.
+            // An update that is too long for a datagram is not sent. The other
+            // daemons see from heartbeats that they have missed it.
             std::string text = codec::encode_store_update(e.update);
-            if (text.size() <= kMaxDatagram) send_datagrams(text, e.to);
+            if (text.size() <= kMaxDatagramBytes) send_datagrams(text, e.to);
           },
-          [this](const fleet::WatchStore& e) { feed_.set_watch(e); },
-          [this](const fleet::CatchUp& e) { feed_.catch_up(e); },
-          [this](const fleet::WriteMap& e) { feed_.write_map(e); },
-          [this](const fleet::ReadMap& e) { feed_.read_map(e.service); },
+          [this](const fleet::WatchStore& e) { store_feed_.set_watch(e); },
+          [this](const fleet::CatchUp& e) { store_feed_.catch_up(e); },
+          [this](const fleet::WriteMap& e) { store_feed_.write_map(e); },
+          [this](const fleet::ReadMap& e) { store_feed_.read_map(e.service); },
           [this](const fleet::GrantKeys& e) {
-            orders_.grant(
+            key_orders_.grant(
                 e, [this](const fleet::OrderEnded& ended) { apply(ended); });
           },
           [this](const fleet::ReleaseKeys& e) {
-            orders_.release(
+            key_orders_.release(
                 e, [this](const fleet::OrderEnded& ended) { apply(ended); });
           },
           [this](const fleet::Note& e) { log(e); },
@@ -198,9 +202,9 @@
   }
   CallerRequestHead& request = value(read);
   RequestId id(next_request_++);
-  open_[id] = {exchange, request.caller_request_id, boot_now()};
+  open_requests_[id] = {exchange, request.caller_request_id, boottime_now()};
   exchange->on_abandoned([this, id] {
-    open_.erase(id);
+    open_requests_.erase(id);
     apply(fleet::CallerLeft{id});
   });
   apply(fleet::RequestReceived{id, std::move(request.caller_request_id),
@@ -210,29 +214,29 @@
 }
 
 void FleetShell::send_attempt(const fleet::SendAttempt& attempt) {
-  auto open = open_.find(attempt.request);
-  if (open == open_.end()) return;
+  auto open = open_requests_.find(attempt.request);
+  if (open == open_requests_.end()) return;
   std::string caller_request_id = open->second.caller_request_id;
   BackendPool::Call call{
       format_.make_server_request(open->second.exchange->request(), attempt),
       attempt.address, attempt.patience, attempt.repeatable,
-      [this, caller_request_id](const HttpResponse& answer) {
-        return format_.matches_request(caller_request_id, answer);
+      [this, caller_request_id](const HttpResponse& response) {
+        return format_.matches_request(caller_request_id, response);
       }};
-  TimePoint sent = boot_now();
-  calls_[attempt.id] = pool_.start(
+  TimePoint sent = boottime_now();
+  attempt_calls_[attempt.id] = pool_.start(
       std::move(call), [this, id = attempt.id, sent](HttpResult result) {
-        server_latency_.record(boot_now() - sent);
+        attempt_latency_.record(boottime_now() - sent);
         end_attempt(id, std::move(result));
       });
 }
 
 void FleetShell::end_attempt(AttemptId id, HttpResult result) {
   using fleet::AttemptResult;
-  calls_.erase(id);
+  attempt_calls_.erase(id);
   fleet::AttemptEnded ended;
-  if (auto* answer = std::get_if<HttpResponse>(&result)) {
-    ended = format_.classify(std::move(*answer));
+  if (auto* response = std::get_if<HttpResponse>(&result)) {
+    ended = format_.classify(std::move(*response));
   } else {
     const auto& failure = std::get<HttpFailure>(result);
     ended.why = failure.why;
@@ -255,13 +259,13 @@
   apply(ended);
 }
 
-void FleetShell::answer(RequestId request, HttpResponse answer) {
-  auto open = open_.find(request);
-  if (open == open_.end()) return;
-  Open ending = std::move(open->second);
-  open_.erase(open);
-  latency_.record(boot_now() - ending.received);
-  ending.exchange->answer(std::move(answer));
+void FleetShell::answer(RequestId request, HttpResponse response) {
+  auto open = open_requests_.find(request);
+  if (open == open_requests_.end()) return;
+  OpenRequest ending = std::move(open->second);
+  open_requests_.erase(open);
+  request_latency_.record(boottime_now() - ending.received);
+  ending.exchange->answer(std::move(response));
 }
 
 void FleetShell::send_datagrams(const std::string& text,
@@ -270,21 +274,22 @@
     auto address = parse_endpoint(endpoint);
     if (!address) continue;
     error_code ignored;  // Datagrams may be lost; the next one follows soon.
-    peers_.send_to(asio::buffer(text),
-                   udp::endpoint(address->address(), address->port()), 0,
-                   ignored);
+    peer_socket_.send_to(asio::buffer(text),
+                         udp::endpoint(address->address(), address->port()), 0,
+                         ignored);
   }
 }
 
 void FleetShell::receive_datagram() {
-  peers_.async_receive_from(asio::buffer(datagram_), sender_,
-                            [this](error_code failed, std::size_t size) {
-                              if (failed == asio::error::operation_aborted) {
-                                return;
-                              }
-                              if (!failed) on_datagram(size);
-                              receive_datagram();
-                            });
+  peer_socket_.async_receive_from(
+      asio::buffer(datagram_), datagram_sender_,
+      [this](error_code failed, std::size_t size) {
+        if (failed == asio::error::operation_aborted) {
+          return;
+        }
+        if (!failed) on_datagram(size);
+        receive_datagram();
+      });
 }
 
 void FleetShell::on_datagram(std::size_t size) {
@@ -292,7 +297,7 @@
       codec::decode_datagram(std::string_view(datagram_.data(), size));
   if (!ok(message)) {
     return log(fleet::Note{"datagram_unreadable",
-                           {{"from", sender_.address().to_string()},
+                           {{"from", datagram_sender_.address().to_string()},
                             {"why", error(message).message}}});
   }
   std::visit(
@@ -313,11 +318,12 @@
 
 void FleetShell::on_metrics(const std::shared_ptr<HttpExchange>& exchange) {
   std::vector<LabelledCounter> events;
-  for (const auto& [name, count] : events_) {
+  for (const auto& [name, count] : event_counts_) {
     events.push_back({"event=\"" + name + "\"", count});
   }
   std::vector<LabelledCounter> ends;
-  for (const auto& [labels, count] : ends_) ends.push_back({labels, count});
+  for (const auto& [labels, count] : request_end_counts_)
+    ends.push_back({labels, count});
   std::string text =
       print_counters("fleet_events_total", "Decisions and changes, by event",
                      events) +
@@ -325,24 +331,25 @@
                      "Callers' requests, by status and reason of their end",
                      ends) +
       print_gauges({{"fleet_open_requests", "Requests without an answer yet",
-                     static_cast<double>(open_.size())},
+                     static_cast<double>(open_requests_.size())},
                     {"fleet_backend_connections_made",
                      "Connections made to backend servers",
                      static_cast<double>(pool_.connections_made())},
                     {"fleet_log_lines_lost",
                      "Log lines left out because the reader was too slow",
-                     static_cast<double>(log_lines_lost())}}) +
+                     static_cast<double>(log_lines_dropped())}}) +
       print_histograms(
           {{"fleet_request_seconds",
-            "From a caller's request to the end of its answer", &latency_},
+            "From a caller's request to the end of its answer",
+            &request_latency_},
            {"fleet_attempt_seconds",
             "From a send to a backend server to the end of the attempt",
-            &server_latency_}});
+            &attempt_latency_}});
   exchange->answer({200, {{"Content-Type", "text/plain"}}, std::move(text)});
 }
 
 void FleetShell::count(const fleet::Note& note) {
-  ++events_[std::string(note.event)];
+  ++event_counts_[std::string(note.event)];
   if (note.event != "request_end") return;
   std::string labels;
   for (const auto& [key, value] : note.fields) {
@@ -350,81 +357,83 @@
     if (!labels.empty()) labels += ',';
     labels += std::string(key) + "=\"" + value + "\"";
   }
-  ++ends_[labels];
+  ++request_end_counts_[labels];
 }
 
 void FleetShell::log(const fleet::Note& note) {
   count(note);
-  if (!log_budget_.take(note.event, boot_now())) return;
+  if (!log_limiter_.allow(note.event, boottime_now())) return;
   LogFields fields = {{"event", std::string(note.event)}};
   fields.insert(fields.end(), note.fields.begin(), note.fields.end());
   log_line(LogLevel::kInfo, fields);
 }
 
 void FleetShell::tick() {
-  timer_.expires_after(fleet::config::kTickInterval);
-  timer_.async_wait([this](error_code failed) {
+  tick_timer_.expires_after(fleet::config::kTick);
+  tick_timer_.async_wait([this](error_code failed) {
     if (!failed) tick();
   });
-  watch_clock();
+  detect_suspension();
   apply(fleet::Tick());
-  follow_limits();
-  TimePoint now = boot_now();
-  if (now - last_sweep_ >= kSweepInterval) {
-    last_sweep_ = now;
-    pool_.drop_old();
-    for (const auto& [kind, lines] : log_budget_.left_out(now)) {
+  apply_caller_limits();
+  TimePoint now = boottime_now();
+  if (now - last_cleanup_ >= kCleanupInterval) {
+    last_cleanup_ = now;
+    pool_.close_expired();
+    for (const auto& [kind, lines] : log_limiter_.take_dropped(now)) {
       log_line(LogLevel::kWarning, {{"event", "log_lines_left_out"},
                                     {"kind", kind},
                                     {"lines", std::to_string(lines)}});
     }
   }
-  if (state_.stopping) finish_stop();
+  if (state_.stopping) advance_stop();
 }
 
-/// A machine that was suspended, or a process that did not run, is told so
-/// before it acts on anything that has queued up.
-void FleetShell::watch_clock() {
-  TimePoint now = boot_now();
+/// After a suspension of the machine or a pause of the process, the core is
+/// notified before it acts on anything that has queued up.
+void FleetShell::detect_suspension() {
+  TimePoint now = boottime_now();
   Duration gap = now - last_tick_;
   last_tick_ = now;
-  Duration suspended = boot_now() - steady_now();
-  bool was_suspended = suspended - clock_gap_ > fleet::config::kTickInterval;
-  clock_gap_ = suspended;
-  constexpr Duration kPause = milliseconds(250);
-  if (gap > kPause || was_suspended) apply(fleet::Resumed{gap});
+  Duration suspended = boottime_now() - steady_now();
+  bool was_suspended = suspended - suspended_time_ > fleet::config::kTick;
+  suspended_time_ = suspended;
+  constexpr Duration kSuspensionThreshold = milliseconds(250);
+  if (gap > kSuspensionThreshold || was_suspended) apply(fleet::Resumed{gap});
 }
 
-void FleetShell::follow_limits() {
-  if (state_.configuration == limits_of_ || !state_.configuration) return;
-  limits_of_ = state_.configuration;
-  const fleet::CallerLimits& limits = limits_of_->limits;
+void FleetShell::apply_caller_limits() {
+  if (state_.configuration == limits_configuration_ || !state_.configuration)
+    return;
+  limits_configuration_ = state_.configuration;
+  const fleet::CallerLimits& limits = limits_configuration_->limits;
   if (limits.header_bytes == 0) return;
-  callers_.set_limits(limits.header_bytes, limits.body_bytes,
-                      limits.header_timeout + seconds(10), limits.idle_timeout);
+  caller_server_.set_limits(limits.header_bytes, limits.body_bytes,
+                            limits.header_timeout + seconds(10),
+                            limits.idle_timeout);
 }
 
 void FleetShell::request_stop() {
   apply(fleet::StopOrdered());
-  callers_.close_after_answers();
+  caller_server_.close_after_answers();
 }
 
-void FleetShell::finish_stop() {
-  Duration stopping = boot_now() - state_.stop_ordered_at;
+void FleetShell::advance_stop() {
+  Duration stopping = boottime_now() - state_.stop_ordered;
   Duration linger = std::min(fleet::config::kStopLinger,
                              state_.settings.stop_timeout - kStopMargin);
   if (stopping >= linger && !closing_) {
     closing_ = true;
-    callers_.stop_accepting();
+    caller_server_.stop_accepting();
   }
-  if (closing_) callers_.close_idle();
-  bool done = closing_ && callers_.connections() == 0;
-  if (!done && stopping < state_.settings.stop_timeout - kStopMargin) return;
+  if (closing_) caller_server_.close_idle();
+  bool done = closing_ && caller_server_.connections() == 0;
+  if (!done && stopping < state_.settings.stop_limit - kStopMargin) return;
   log_line(LogLevel::kInfo, {{"event", "stop"},
-                             {"open", std::to_string(open_.size())},
+                             {"open", std::to_string(open_requests_.size())},
                              {"after", std::to_string(to_ms(stopping))}});
-  timer_.cancel();
-  stopped_();
+  tick_timer_.cancel();
+  on_stopped_();
 }
 
 void FleetShell::reload(const fleet::Settings& settings) {
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -23,30 +23,32 @@
 
 struct ListenAddresses {
   Endpoint callers;
-  Endpoint ready;  ///< Answers 200 while new connections are welcome.
+  Endpoint ready;  ///< Answers 200 while the daemon takes new connections.
   Endpoint metrics;
 };
 
-/// Runs the decision core of one fleet daemon: turns I/O into events, and
-/// effects into I/O.
+/// Runs the decision core of one fleet daemon: passes I/O to it as events, and
+/// carries out its effects as I/O.
 class FleetShell {
  public:
   FleetShell(boost::asio::io_context& io, fleet::Settings settings,
-             ListenAddresses addresses, FleetStore& store, KeyOrders& orders,
-             const RequestFormat& format, std::function<void()> stopped);
+             ListenAddresses addresses, FleetStore& store,
+             KeyOrders& key_orders, const RequestFormat& format,
+             std::function<void()> on_stopped);
   FleetShell(const FleetShell&) = delete;
   FleetShell& operator=(const FleetShell&) = delete;
 
-  /// Binds every port; errors say which could not be bound.
+  /// Binds every port; errors name the ports that could not be bound.
   std::vector<Error> bind();
   void start();
-  /// Stops accepting, serves what is open, then calls `stopped`.
+  /// Stops gracefully: accepts no further connections after a while, serves the
+  /// open requests, then calls `on_stopped`.
   void request_stop();
-  /// The settings were read again; what can change while running is taken over.
+  /// Applies reloaded settings as far as they can change at run time.
   void reload(const fleet::Settings& settings);
 
  private:
-  struct Open {
+  struct OpenRequest {
     std::shared_ptr<HttpExchange> exchange;
     std::string caller_request_id;
     TimePoint received;
@@ -57,7 +59,7 @@
   void on_exchange(const std::shared_ptr<HttpExchange>& exchange);
   void send_attempt(const fleet::SendAttempt& attempt);
   void end_attempt(AttemptId id, HttpResult result);
-  void answer(RequestId request, HttpResponse answer);
+  void answer(RequestId request, HttpResponse response);
   void send_datagrams(const std::string& text, const std::vector<Endpoint>& to);
   void receive_datagram();
   void on_datagram(std::size_t size);
@@ -65,39 +67,39 @@
   void log(const fleet::Note& note);
   void count(const fleet::Note& note);
   void tick();
-  void watch_clock();
-  void follow_limits();
-  void finish_stop();
+  void detect_suspension();
+  void apply_caller_limits();
+  void advance_stop();
 
   boost::asio::io_context& io_;
   fleet::Settings settings_;
   ListenAddresses addresses_;
-  KeyOrders& orders_;
+  KeyOrders& key_orders_;
   const RequestFormat& format_;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   fleet::State state_;
-  StoreFeed feed_;
+  StoreFeed store_feed_;
   BackendPool pool_;
-  HttpServer callers_;
-  HttpServer ready_;
-  HttpServer metrics_;
-  boost::asio::ip::udp::socket peers_;
-  boost::asio::ip::udp::endpoint sender_;
+  HttpServer caller_server_;
+  HttpServer ready_server_;
+  HttpServer metrics_server_;
+  boost::asio::ip::udp::socket peer_socket_;
+  boost::asio::ip::udp::endpoint datagram_sender_;
   std::vector<char> datagram_;
-  boost::asio::steady_timer timer_;
-  std::map<RequestId, Open> open_;
-  std::map<AttemptId, std::uint64_t> calls_;
+  boost::asio::steady_timer tick_timer_;
+  std::map<RequestId, OpenRequest> open_requests_;
+  std::map<AttemptId, std::uint64_t> attempt_calls_;
   std::uint64_t next_request_ = 1;
-  std::shared_ptr<const fleet::Configuration> limits_of_;
+  std::shared_ptr<const fleet::Configuration> limits_configuration_;
   TimePoint last_tick_;
-  TimePoint last_sweep_;
-  Duration clock_gap_{0};  ///< Suspended time seen so far.
+  TimePoint last_cleanup_;
+  Duration suspended_time_{0};  ///< Total suspended time.
   bool closing_ = false;
-  LogRateLimiter log_budget_;
-  std::map<std::string, std::uint64_t> events_;
-  std::map<std::string, std::uint64_t> ends_;
-  Histogram latency_;
-  Histogram server_latency_;
+  LogRateLimiter log_limiter_;
+  std::map<std::string, std::uint64_t> event_counts_;
+  std::map<std::string, std::uint64_t> request_end_counts_;
+  Histogram request_latency_;
+  Histogram attempt_latency_;
 };
 
 }  // namespace eelgrasspin::io
--- a/src/io/held_requests.cc
+++ b/src/io/held_requests.cc
@@ -33,7 +33,7 @@
   if (!held) return;
   if (held->caller)
     held->caller->answer(make_caller_response(status, *payload));
-  if (held->forward) held->forward->answer(status, *payload);
+  if (held->forwarded) held->forwarded->answer(status, *payload);
 }
 
 void HeldRequests::refuse(RequestId request, Outcome outcome, Reason reason,
@@ -44,8 +44,8 @@
     held->caller->answer(
         make_caller_response(outcome, reason, retry_after, request));
   }
-  if (held->forward) {
-    held->forward->refuse(outcome, reason, retry_after, newer_epoch);
+  if (held->forwarded) {
+    held->forwarded->refuse(outcome, reason, retry_after, newer_epoch);
   }
 }
 
--- a/src/io/held_requests.h
+++ b/src/io/held_requests.h
@@ -14,29 +14,30 @@
 
 namespace eelgrasspin::io {
 
-/// An attempt's whole answer, kept until the core says which one is relayed.
+/// The complete answer to one attempt, kept until the core decides which
+/// attempt's answer is relayed.
 struct HeldAnswer {
   std::uint16_t status = 0;
   std::shared_ptr<const Payload> payload;
 };
 
-/// A request that has not ended: its parts that the core does not see, and
-/// whoever waits for its end.
+/// A request that has not ended: the parts that the core does not need, and the
+/// connection to the caller or daemon that waits for the outcome.
 struct HeldRequest {
   RequestHead head;
   std::shared_ptr<const Payload> payload;
-  std::shared_ptr<HttpExchange> caller;     ///< Null for a forwarded request.
-  std::shared_ptr<InboundRequest> forward;  ///< Null for a caller's request.
+  std::shared_ptr<HttpExchange> caller;       ///< Null for a forwarded request.
+  std::shared_ptr<InboundRequest> forwarded;  ///< Null for a caller's request.
   TimePoint arrived;
   std::map<AttemptId, HeldAnswer> answers;
 };
 
-/// Requests of one daemon that have not ended.
-class HeldRequests : public ReplySender {
+/// Requests of this daemon that have not ended.
+class HeldRequests : public CallerSide {
  public:
   RequestId add(HeldRequest request);
   HeldRequest* find(RequestId request);
-  /// Forgets a request whose sender has gone.
+  /// Removes a request that its sender has abandoned.
   void drop(RequestId request);
 
   void answer(RequestId request, std::uint16_t status,
@@ -45,7 +46,7 @@
               Duration retry_after, Epoch newer_epoch) override;
 
   std::size_t size() const { return requests_.size(); }
-  /// Bodies of all held requests together.
+  /// Total size of the bodies of all held requests.
   std::size_t body_bytes() const { return body_bytes_; }
 
  private:
--- a/src/io/histogram.cc
+++ b/src/io/histogram.cc
@@ -7,17 +7,18 @@
 namespace eelgrasspin::io {
 
 std::size_t Histogram::bucket_of(std::uint64_t us) {
-  if (us < kSteps) return us;
-  auto power = static_cast<std::size_t>(std::bit_width(us / kSteps));
-  std::size_t step = (us >> (power - 1)) - kSteps;
-  return std::min(power * kSteps + step, kSteps * kPowers - 1);
+  if (us < kBucketsPerPower) return us;
+  auto power = static_cast<std::size_t>(std::bit_width(us / kBucketsPerPower));
+  std::size_t step = (us >> (power - 1)) - kBucketsPerPower;
+  return std::min(power * kBucketsPerPower + step,
+                  kBucketsPerPower * kPowerCount - 1);
 }
 
-std::uint64_t Histogram::upper_end(std::size_t bucket) {
-  if (bucket < kSteps) return bucket;
-  std::size_t power = bucket / kSteps;
-  std::uint64_t step = bucket % kSteps;
-  return ((kSteps + step + 1) << (power - 1)) - 1;
+std::uint64_t Histogram::max_value_of(std::size_t bucket) {
+  if (bucket < kBucketsPerPower) return bucket;
+  std::size_t power = bucket / kBucketsPerPower;
+  std::uint64_t step = bucket % kBucketsPerPower;
+  return ((kBucketsPerPower + step + 1) << (power - 1)) - 1;
 }
 
 void Histogram::record(Duration duration) {
@@ -40,23 +41,23 @@
 Duration Histogram::quantile(double q) const {
   auto rank =
       static_cast<std::uint64_t>(std::ceil(q * static_cast<double>(count_)));
-  std::uint64_t seen = 0;
+  std::uint64_t counted = 0;
   for (std::size_t i = 0; i < buckets_.size(); ++i) {
-    seen += buckets_[i];
-    if (seen >= rank && seen > 0) {
-      return std::min(Duration(upper_end(i)), max_);
+    counted += buckets_[i];
+    if (counted >= rank && counted > 0) {
+      return std::min(Duration(max_value_of(i)), max_);
     }
   }
   return Duration(0);
 }
 
-std::uint64_t Histogram::count_up_to(Duration limit) const {
-  std::uint64_t seen = 0;
+std::uint64_t Histogram::count_below(Duration limit) const {
+  std::uint64_t counted = 0;
   for (std::size_t i = 0; i < buckets_.size(); ++i) {
-    if (upper_end(i) >= static_cast<std::uint64_t>(limit.count())) break;
-    seen += buckets_[i];
+    if (max_value_of(i) >= static_cast<std::uint64_t>(limit.count())) break;
+    counted += buckets_[i];
   }
-  return seen;
+  return counted;
 }
 
 }  // namespace eelgrasspin::io
--- a/src/io/histogram.h
+++ b/src/io/histogram.h
@@ -8,8 +8,9 @@
 
 namespace eelgrasspin::io {
 
-/// Counts durations in log-linear buckets: each power of two of microseconds is
-/// cut into kSteps equal ones, so that a value is off by at most 1/kSteps.
+/// Counts durations in log-linear buckets: the range between two powers of two
+/// microseconds is divided into kBucketsPerPower equal buckets. The relative
+/// error of a value is at most 1/kBucketsPerPower.
 class Histogram {
  public:
   void record(Duration duration);
@@ -18,20 +19,20 @@
   std::uint64_t count() const { return count_; }
   Duration sum() const { return sum_; }
   Duration max() const { return max_; }
-  /// Upper end of the bucket that holds the share `q` (0 to 1) of all values; 0
-  /// if there are none.
+  /// The quantile `q` (0 to 1), as the upper end of its bucket; 0 if nothing
+  /// was recorded.
   Duration quantile(double q) const;
-  /// Values below `limit`, which is a power of two of microseconds.
-  std::uint64_t count_up_to(Duration limit) const;
+  /// Number of values below `limit`, which must be a power of two microseconds.
+  std::uint64_t count_below(Duration limit) const;
 
  private:
-  static constexpr std::size_t kSteps = 32;
-  static constexpr std::size_t kPowers = 36;
+  static constexpr std::size_t kBucketsPerPower = 32;
+  static constexpr std::size_t kPowerCount = 36;
 
   static std::size_t bucket_of(std::uint64_t us);
-  static std::uint64_t upper_end(std::size_t bucket);
+  static std::uint64_t max_value_of(std::size_t bucket);
 
-  std::array<std::uint64_t, kSteps * kPowers> buckets_{};
+  std::array<std::uint64_t, kBucketsPerPower * kPowerCount> buckets_{};
   std::uint64_t count_ = 0;
   Duration sum_{0};
   Duration max_{0};
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -21,12 +21,12 @@
 
 namespace {
 
-constexpr std::size_t kReadChunk = 16 * 1024;
-constexpr std::size_t kMaxIdleConnections = 4;
+constexpr std::size_t kReadChunkBytes = 16 * 1024;
+constexpr std::size_t kMaxIdlePerClient = 4;
 
 using Request = http::request<http::string_body>;
 
-Request to_beast(const HttpRequest& request, const Endpoint& endpoint) {
+Request to_beast_request(const HttpRequest& request, const Endpoint& endpoint) {
   Request message;
   message.version(11);
   message.method_string(request.method);
@@ -44,50 +44,53 @@
                    public std::enable_shared_from_this<Connection> {
  public:
   Connection(asio::io_context& io, const Endpoint& endpoint)
-      : socket_(io), timer_(io), endpoint_(endpoint), buffer_(kBufferLimit) {}
+      : socket_(io),
+        timer_(io),
+        endpoint_(endpoint),
+        buffer_(kMaxBufferBytes) {}
 
-  void exchange(const HttpRequest& request, Duration limit,
+  void exchange(const HttpRequest& request, Duration timeout,
                 HttpCallback done) override {
     done_ = std::move(done);
-    head_request_ = request.method == "HEAD";
-    message_.emplace(to_beast(request, endpoint_));
-    start_limit(limit);
-    if (phase_ == Phase::kNew) return connect(limit);
+    is_head_request_ = request.method == "HEAD";
+    message_.emplace(to_beast_request(request, endpoint_));
+    start_timer(timeout);
+    if (phase_ == Phase::kNew) return connect(timeout);
     send();
   }
 
-  void exchange_checked(const HttpRequest& request, Duration limit,
+  void exchange_checked(const HttpRequest& request, Duration timeout,
                         HttpResponseCheck matches_request,
                         HttpCallback done) override {
     matches_request_ = std::move(matches_request);
-    exchange(request, limit, std::move(done));
+    exchange(request, timeout, std::move(done));
   }
 
   void close() override {
     done_ = nullptr;
     matches_request_ = nullptr;
-    shut();
+    close_socket();
   }
 
   bool idle() const override { return phase_ == Phase::kIdle; }
   bool closed() const override { return phase_ == Phase::kClosed; }
-  std::uint64_t answered() const override { return answered_; }
-  TimePoint last_answer() const override { return last_answer_; }
+  std::uint64_t response_count() const override { return response_count_; }
+  TimePoint last_response_time() const override { return last_response_time_; }
 
  private:
   enum class Phase { kNew, kConnecting, kSending, kIdle, kClosed };
-  static constexpr std::size_t kBufferLimit =
-      config::kMaxHeaderBytes + kReadChunk;
+  static constexpr std::size_t kMaxBufferBytes =
+      config::kMaxHeaderBytes + kReadChunkBytes;
 
-  void shut() {
+  void close_socket() {
     phase_ = Phase::kClosed;
     error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
   }
 
-  void start_limit(Duration limit) {
-    timer_.expires_after(limit);
+  void start_timer(Duration timeout) {
+    timer_.expires_after(timeout);
     timer_.async_wait([self = shared_from_this()](error_code failed) {
       if (failed || !self->done_) return;
       self->fail(self->phase_ == Phase::kConnecting
@@ -97,7 +100,7 @@
     });
   }
 
-  void connect(Duration limit) {
+  void connect(Duration timeout) {
     phase_ = Phase::kConnecting;
     auto address = parse_endpoint(endpoint_);
     if (!address) {
@@ -105,16 +108,16 @@
         self->fail(HttpFailureKind::kRefused, "not an address");
       });
     }
-    start_connect_limit(limit);
+    start_connect_timer(timeout);
     socket_.async_connect(*address,
                           [self = shared_from_this()](error_code failed) {
                             self->on_connected(failed);
                           });
   }
 
-  void start_connect_limit(Duration limit) {
-    whole_limit_ = std::chrono::steady_clock::now() + limit;
-    if (limit > config::kConnectTimeout) start_limit(config::kConnectTimeout);
+  void start_connect_timer(Duration timeout) {
+    exchange_deadline_ = std::chrono::steady_clock::now() + timeout;
+    if (timeout > config::kConnectTimeout) start_timer(config::kConnectTimeout);
   }
 
   void on_connected(error_code failed) {
@@ -125,8 +128,8 @@
     }
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    start_limit(std::chrono::duration_cast<Duration>(
-        whole_limit_ - std::chrono::steady_clock::now()));
+    start_timer(std::chrono::duration_cast<Duration>(
+        exchange_deadline_ - std::chrono::steady_clock::now()));
     send();
   }
 
@@ -135,11 +138,11 @@
     first_byte_seen_ = false;
     writing_ = true;
     new_parser();
-    auto held = std::make_shared<Request>(std::move(*message_));
+    auto outgoing = std::make_shared<Request>(std::move(*message_));
     message_.reset();
     http::async_write(
-        socket_, *held,
-        [self = shared_from_this(), held](error_code failed, std::size_t) {
+        socket_, *outgoing,
+        [self = shared_from_this(), outgoing](error_code failed, std::size_t) {
           self->on_sent(failed);
         });
     read_more();
@@ -147,7 +150,7 @@
 
   void on_sent(error_code failed) {
     writing_ = false;
-    // A peer may answer and close before it has read the whole request.
+    // The server may answer and close before it has read the whole request.
     if (failed && done_ && !reading_) {
       fail(HttpFailureKind::kClosed, failed.message());
     }
@@ -158,13 +161,14 @@
     parser_->header_limit(config::kMaxHeaderBytes);
     parser_->body_limit(config::kMaxAnswerBytes);
     parser_->eager(true);
-    parser_->skip(head_request_);
+    parser_->skip(is_head_request_);
   }
 
   void read_more() {
     if (reading_) return;
     reading_ = true;
-    std::size_t room = std::min(kReadChunk, kBufferLimit - buffer_.size());
+    std::size_t room =
+        std::min(kReadChunkBytes, kMaxBufferBytes - buffer_.size());
     socket_.async_read_some(
         buffer_.prepare(room),
         [self = shared_from_this()](error_code failed, std::size_t count) {
@@ -175,8 +179,9 @@
   void on_read(error_code failed, std::size_t count) {
     reading_ = false;
     if (phase_ == Phase::kClosed) return;
-    if (phase_ == Phase::kIdle) return shut();  // Closed, or unasked input.
-    if (failed == asio::error::eof && first_byte_seen_) return parse_end();
+    if (phase_ == Phase::kIdle)
+      return close_socket();  // End of stream, or input without a request.
+    if (failed == asio::error::eof && first_byte_seen_) return parse_eof();
     if (failed) {
       return fail(first_byte_seen_ ? HttpFailureKind::kTruncated
                                    : HttpFailureKind::kClosed,
@@ -193,8 +198,8 @@
     if (failed == http::error::need_more) failed = {};
     if (failed) return fail(HttpFailureKind::kTruncated, failed.message());
     if (!parser_->is_done()) {
-      if (buffer_.size() >= kBufferLimit) {
-        return fail(HttpFailureKind::kTruncated, "header too large");
+      if (buffer_.size() >= kMaxBufferBytes) {
+        return fail(HttpFailureKind::kTruncated, "response header too large");
       }
       return read_more();
     }
@@ -205,54 +210,57 @@
     finish();
   }
 
-  /// An answer without a length ends with its connection.
-  void parse_end() {
+  /// A response without a length ends with the connection.
+  void parse_eof() {
     error_code failed;
     parser_->put_eof(failed);
     if (failed || !parser_->is_done()) {
-      return fail(HttpFailureKind::kTruncated, "ended early");
+      return fail(HttpFailureKind::kTruncated,
+                  "connection closed before the end of the response");
     }
     finish();
   }
 
   void finish() {
     auto message = parser_->release();
-    HttpResponse answer{static_cast<int>(message.result_int()), {}, {}, false};
+    HttpResponse response{
+        static_cast<int>(message.result_int()), {}, {}, false};
     for (const auto& field : message.base()) {
-      answer.headers.emplace_back(std::string(field.name_string()),
-                                  std::string(field.value()));
+      response.headers.emplace_back(std::string(field.name_string()),
+                                    std::string(field.value()));
     }
-    answer.body = std::move(message.body());
-    if (matches_request_ && !matches_request_(answer)) {
-      strayed_ = true;
+    response.body = std::move(message.body());
+    if (matches_request_ && !matches_request_(response)) {
+      unmatched_response_ = true;
       if (!message.keep_alive()) {
-        return fail(HttpFailureKind::kTruncated, "answer to another request");
+        return fail(HttpFailureKind::kTruncated, "response to another request");
       }
       first_byte_seen_ = false;
       new_parser();
       return buffer_.size() > 0 ? parse() : read_more();
     }
     matches_request_ = nullptr;
-    ++answered_;
-    last_answer_ = steady_now();
+    ++response_count_;
+    last_response_time_ = steady_now();
     timer_.cancel();
     phase_ = Phase::kIdle;
-    // Bytes after the answer belong to no request: the framing is in doubt.
-    if (!message.keep_alive() || buffer_.size() > 0 || writing_ || strayed_) {
-      shut();
+    // Bytes after the response belong to no request: the framing may be wrong.
+    if (!message.keep_alive() || buffer_.size() > 0 || writing_ ||
+        unmatched_response_) {
+      close_socket();
     } else {
-      read_more();  // Notices that the other side closes.
+      read_more();  // Detects that the server closes the connection.
     }
     HttpCallback done = std::move(done_);
     done_ = nullptr;
-    if (done) done(std::move(answer));
+    if (done) done(std::move(response));
   }
 
   void fail(HttpFailureKind kind, std::string why, bool no_listener = false) {
     HttpCallback done = std::move(done_);
     done_ = nullptr;
     matches_request_ = nullptr;
-    shut();
+    close_socket();
     if (done) done(HttpFailure{kind, std::move(why), no_listener});
   }
 
@@ -264,15 +272,16 @@
   std::optional<http::response_parser<http::string_body>> parser_;
   HttpCallback done_;
   HttpResponseCheck matches_request_;
-  std::chrono::steady_clock::time_point whole_limit_;
-  TimePoint last_answer_;
-  std::uint64_t answered_ = 0;
+  std::chrono::steady_clock::time_point exchange_deadline_;
+  TimePoint last_response_time_;
+  std::uint64_t response_count_ = 0;
   Phase phase_ = Phase::kNew;
   bool reading_ = false;
   bool first_byte_seen_ = false;
-  bool head_request_ = false;
+  bool is_head_request_ = false;
   bool writing_ = false;
-  bool strayed_ = false;  ///< An answer to no request of ours came first.
+  /// A response that matches no request was skipped.
+  bool unmatched_response_ = false;
 };
 
 }  // namespace
@@ -297,14 +306,14 @@
   for (const auto& connection : *connections_) connection->close();
 }
 
-std::shared_ptr<HttpConnection> HttpClient::take() {
+std::shared_ptr<HttpConnection> HttpClient::take_connection() {
   auto& idle = *connections_;
   TimePoint now = steady_now();
   while (!idle.empty()) {
     std::shared_ptr<HttpConnection> connection = std::move(idle.back());
     idle.pop_back();
-    if (connection->idle() &&
-        now - connection->last_answer() < config::kMaxConnectionReuseAge) {
+    if (connection->idle() && now - connection->last_response_time() <
+                                  config::kReusableConnectionAge) {
       return connection;
     }
     connection->close();
@@ -312,19 +321,19 @@
   return make_http_connection(io_, endpoint_);
 }
 
-void HttpClient::call(const HttpRequest& request, Duration limit,
+void HttpClient::call(const HttpRequest& request, Duration timeout,
                       HttpCallback done) {
-  auto connection = take();
+  auto connection = take_connection();
   std::weak_ptr<std::vector<std::shared_ptr<HttpConnection>>> pool =
       connections_;
   connection->exchange(
-      request, limit,
+      request, timeout,
       [pool, connection, done = std::move(done)](HttpResult result) {
         auto idle = pool.lock();
         if (!idle) return connection->close();
         if (std::holds_alternative<HttpFailure>(result)) {
-          idle->clear();  // The others may have gone silent as well.
-        } else if (connection->idle() && idle->size() < kMaxIdleConnections) {
+          idle->clear();  // The other connections may be stalled as well.
+        } else if (connection->idle() && idle->size() < kMaxIdlePerClient) {
           idle->push_back(connection);
         } else {
           connection->close();
@@ -334,12 +343,12 @@
 }
 
 HttpResult blocking_call(const Endpoint& endpoint, const HttpRequest& request,
-                         Duration limit) {
+                         Duration timeout) {
   asio::io_context io;
   HttpResult result = HttpFailure{};
   auto connection = make_http_connection(io, endpoint);
-  connection->exchange(request, limit, [&](HttpResult answer) {
-    result = std::move(answer);
+  connection->exchange(request, timeout, [&](HttpResult ended) {
+    result = std::move(ended);
     connection->close();
   });
   io.run();
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -17,25 +17,25 @@
 
 namespace eelgrasspin::io {
 
-/// How an exchange ended without a whole answer.
+/// Why an exchange ended without a complete response.
 enum class HttpFailureKind : std::uint8_t {
   kRefused,         ///< The connection was refused; nothing was sent.
   kConnectTimeout,  ///< No connection was made in time; nothing was sent.
-  kTimeout,         ///< Sent at least in part; no whole answer in time.
-  kClosed,          ///< Closed or reset before the first byte of an answer.
+  kTimeout,         ///< Sent at least in part; no complete response in time.
+  kClosed,          ///< Closed or reset before the first byte of a response.
   kTruncated,       ///< Closed, reset or unreadable after the first byte.
 };
 
 struct HttpFailure {
   HttpFailureKind kind = HttpFailureKind::kRefused;
   std::string why;
-  /// With kRefused: nobody listens at the address.
+  /// With kRefused: no process listens on the port.
   bool no_listener = false;
 };
 
 using HttpResult = std::variant<HttpResponse, HttpFailure>;
 using HttpCallback = std::function<void(HttpResult)>;
-/// Whether an answer belongs to the request that waits for one.
+/// Whether a response belongs to the request that waits for one.
 using HttpResponseCheck = std::function<bool(const HttpResponse&)>;
 
 /// One HTTP/1.1 connection with at most one exchange at a time. Not thread
@@ -43,36 +43,36 @@
 class HttpConnection {
  public:
   virtual ~HttpConnection() = default;
-  /// Connects if need be, sends and reads the whole answer within `limit`. A
-  /// failed connection is closed. `done` is called once unless close() comes
-  /// first.
-  virtual void exchange(const HttpRequest& request, Duration limit,
+  /// Connects if necessary, sends the request and reads the complete response
+  /// within `timeout`. A failed connection is closed. `done` is called exactly
+  /// once, unless close() is called first.
+  virtual void exchange(const HttpRequest& request, Duration timeout,
                         HttpCallback done) = 0;
-  /// Like exchange(), but answers that fail `belongs` are passed over; the
-  /// connection is then closed after the answer that passes.
-  virtual void exchange_checked(const HttpRequest& request, Duration limit,
+  /// Like exchange(), but skips responses for which `matches_request` is false.
+  /// After a skipped response the connection is not reused.
+  virtual void exchange_checked(const HttpRequest& request, Duration timeout,
                                 HttpResponseCheck matches_request,
                                 HttpCallback done) = 0;
-  /// Closes at once; no callback is called any more.
+  /// Closes at once; no further callback is called.
   virtual void close() = 0;
-  /// Connected, no exchange under way, and not closed by the other side.
+  /// Connected, without an exchange in progress, and not closed by the server.
   virtual bool idle() const = 0;
   virtual bool closed() const = 0;
-  /// Exchanges answered so far.
-  virtual std::uint64_t answered() const = 0;
-  /// When the last answer was complete, on the steady clock; only if
-  /// answered() > 0.
-  virtual TimePoint last_answer() const = 0;
+  /// Number of complete responses so far.
+  virtual std::uint64_t response_count() const = 0;
+  /// When the last response was complete, on the steady clock. Valid only if
+  /// response_count() > 0.
+  virtual TimePoint last_response_time() const = 0;
 };
 
 std::shared_ptr<HttpConnection> make_http_connection(
     boost::asio::io_context& io, const Endpoint& endpoint);
 
-/// The present on the steady clock.
+/// Current time of the steady clock.
 TimePoint steady_now();
 
-/// Calls one endpoint over a few kept connections. Every call stands alone and
-/// answers once; nothing is sent twice.
+/// Sends requests to one endpoint over a few persistent connections. Each call
+/// ends in exactly one callback; no request is sent twice.
 class HttpClient {
  public:
   HttpClient(boost::asio::io_context& io, Endpoint endpoint);
@@ -80,20 +80,21 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  void call(const HttpRequest& request, Duration limit, HttpCallback done);
+  void call(const HttpRequest& request, Duration timeout, HttpCallback done);
   const Endpoint& endpoint() const { return endpoint_; }
 
  private:
-  std::shared_ptr<HttpConnection> take();
+  std::shared_ptr<HttpConnection> take_connection();
 
   boost::asio::io_context& io_;
   Endpoint endpoint_;
   std::shared_ptr<std::vector<std::shared_ptr<HttpConnection>>> connections_;
 };
 
-/// One call on a fresh connection that blocks the calling thread. For tools.
+/// Sends one request over a new connection and blocks the calling thread until
+/// it has ended. For tools.
 HttpResult blocking_call(const Endpoint& endpoint, const HttpRequest& request,
-                         Duration limit);
+                         Duration timeout);
 
 }  // namespace eelgrasspin::io
 
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -22,10 +22,10 @@
 using boost::system::error_code;
 
 namespace {
-constexpr std::size_t kReadChunk = 16 * 1024;
-constexpr Duration kRefusalDrainLimit = milliseconds(500);
-/// Requests of one connection that are handled side by side.
-constexpr std::size_t kMaxPipelined = 16;
+constexpr std::size_t kReadChunkBytes = 16 * 1024;
+constexpr Duration kDiscardInputTimeout = milliseconds(500);
+/// Requests of one connection that are handled concurrently.
+constexpr std::size_t kMaxPipelinedRequests = 16;
 class Connection;
 }  // namespace
 
@@ -37,7 +37,7 @@
         handler(std::move(handle)) {}
 
   void accept();
-  HttpResponse refusal(int status, std::string why) const;
+  HttpResponse make_refusal(int status, std::string why) const;
 
   asio::io_context& io;
   tcp::acceptor acceptor;
@@ -60,8 +60,8 @@
   return headers;
 }
 
-/// Why a request head is refused although it can be parsed; empty if it is
-/// accepted.
+/// Why the head of a request is refused although it can be parsed; empty if it
+/// is accepted.
 std::string framing_error(const http::request_header<>& head) {
   auto lengths = head.equal_range(http::field::content_length);
   auto encodings = head.equal_range(http::field::transfer_encoding);
@@ -80,69 +80,70 @@
     return "Transfer-Encoding other than chunked";
   }
   if (encoding_count > 0 && head.version() < 11) {
-    return "Transfer-Encoding in an old HTTP version";
+    return "Transfer-Encoding before HTTP/1.1";
   }
   if (head.count(http::field::host) > 1) return "repeated Host";
   if (!head.target().starts_with('/')) return "target is not a path";
   return {};
 }
 
-int status_of(error_code failure) {
+int refusal_status(error_code failure) {
   if (failure == http::error::header_limit) return 431;
   if (failure == http::error::body_limit) return 413;
   return 400;
 }
 
-/// One request of a connection, and its place in the order of answers.
+/// One request of a connection, queued until its response can be sent.
 class Exchange : public HttpExchange {
  public:
   Exchange(std::weak_ptr<Connection> connection, HttpRequest request,
-           bool keep_alive, bool head)
+           bool keep_alive, bool is_head_request)
       : connection_(std::move(connection)),
         request_(std::move(request)),
         keep_alive_(keep_alive),
-        head_(head) {}
+        is_head_request_(is_head_request) {}
 
   HttpRequest& request() override { return request_; }
-  void answer(HttpResponse answer) override;
-  void on_abandoned(std::function<void()> gone) override {
-    if (!ended_) gone_ = std::move(gone);
+  void answer(HttpResponse response) override;
+  void on_abandoned(std::function<void()> callback) override {
+    if (!connection_ended_) on_abandoned_ = std::move(callback);
   }
   void send_raw_and_close(std::string bytes) override;
   void abort() override;
 
-  /// The connection has ended. Returns what is to be told, if anything.
-  std::function<void()> end() {
-    ended_ = true;
-    return std::exchange(gone_, nullptr);
+  /// Records that the connection has ended. Returns the callback to run, if
+  /// any.
+  std::function<void()> on_connection_closed() {
+    connection_ended_ = true;
+    return std::exchange(on_abandoned_, nullptr);
   }
 
-  const std::optional<HttpResponse>& ready() const { return ready_; }
-  const std::optional<std::string>& raw() const { return raw_; }
-  bool finished() const { return ready_ || raw_; }
+  const std::optional<HttpResponse>& response() const { return response_; }
+  const std::optional<std::string>& raw_bytes() const { return raw_bytes_; }
+  bool finished() const { return response_ || raw_bytes_; }
   bool keep_alive() const { return keep_alive_; }
-  bool head() const { return head_; }
+  bool is_head_request() const { return is_head_request_; }
 
  private:
   std::weak_ptr<Connection> connection_;
   HttpRequest request_;
-  std::function<void()> gone_;
-  std::optional<HttpResponse> ready_;
-  std::optional<std::string> raw_;
+  std::function<void()> on_abandoned_;
+  std::optional<HttpResponse> response_;
+  std::optional<std::string> raw_bytes_;
   bool keep_alive_;
-  bool head_;
-  bool ended_ = false;
+  bool is_head_request_;
+  bool connection_ended_ = false;
 };
 
-/// Requests of one connection are handled side by side and answered in the
-/// order in which they came.
+/// Requests of one connection are handled concurrently and answered in the
+/// order in which they were received.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<HttpServer::Impl> server, tcp::socket socket)
       : server_(std::move(server)),
         socket_(std::move(socket)),
         timer_(socket_.get_executor()),
-        buffer_(server_->options.header_bytes + kReadChunk) {}
+        buffer_(server_->options.header_bytes + kReadChunkBytes) {}
 
   void start() {
     error_code ignored;
@@ -152,12 +153,13 @@
     expect_request();
   }
 
-  /// Called when an exchange has its answer.
+  /// Sends the next response in order. Called when an exchange gets its
+  /// response.
   void flush() {
     if (writing_ || closed_ || exchanges_.empty()) return;
     Exchange& first = *exchanges_.front();
-    if (first.raw()) return send_raw(*first.raw());
-    if (first.ready()) send(first);
+    if (first.raw_bytes()) return send_raw(*first.raw_bytes());
+    if (first.response()) send(first);
   }
 
   void close() {
@@ -172,36 +174,36 @@
     exchanges_.clear();
     server_->open_exchanges -= exchanges.size();
     for (const auto& exchange : exchanges) {
-      auto gone = exchange->end();
-      if (gone && tell_gone_) gone();
+      auto on_abandoned = exchange->on_connection_closed();
+      if (on_abandoned && notify_abandoned_) on_abandoned();
     }
   }
 
-  /// Closes on the server's own account: nobody is told.
+  /// Closes without running the on_abandoned callbacks.
   void abort() {
-    tell_gone_ = false;
+    notify_abandoned_ = false;
     close();
   }
 
-  void silence() { silent_ = true; }
-  bool silent() const { return silent_; }
-  /// Closes a connection on which nothing is under way.
+  void stall() { stalled_ = true; }
+  bool stalled() const { return stalled_; }
+  /// Closes the connection if no request is in progress.
   void close_if_idle() {
     if (exchanges_.empty() && !receiving_ && !writing_) close();
   }
 
  private:
-  void limit(Duration duration) {
+  void start_timer(Duration duration) {
     timer_.expires_after(duration);
     timer_.async_wait([self = shared_from_this()](error_code failed) {
-      if (!failed) self->on_limit();
+      if (!failed) self->on_timeout();
     });
   }
 
-  void on_limit() {
+  void on_timeout() {
     if (timer_.expiry() > std::chrono::steady_clock::now()) return;
     if (receiving_) {
-      refuse(408, "request took too long to arrive");
+      refuse(408, "request was not received in time");
     } else if (exchanges_.empty() || writing_) {
       close();
     }
@@ -216,13 +218,13 @@
     parser_->eager(true);
     head_checked_ = false;
     if (buffer_.size() > 0 && may_parse()) return parse();
-    if (exchanges_.empty()) limit(server_->options.idle_limit);
+    if (exchanges_.empty()) start_timer(server_->options.idle_timeout);
     read_more();
   }
 
   void read_more() {
     std::size_t room =
-        std::min(kReadChunk, buffer_.max_size() - buffer_.size());
+        std::min(kReadChunkBytes, buffer_.max_size() - buffer_.size());
     if (reading_ || closed_ || room == 0) return;
     reading_ = true;
     socket_.async_read_some(
@@ -234,10 +236,10 @@
 
   void on_read(error_code failed, std::size_t count) {
     reading_ = false;
-    if (closed_ || silent_) return;
+    if (closed_ || stalled_) return;
     if (failed) return on_read_failed();
     buffer_.commit(count);
-    if (draining_) {
+    if (discarding_input_) {
       buffer_.clear();
       return read_more();
     }
@@ -245,27 +247,30 @@
   }
 
   void on_read_failed() {
-    if (writing_ && exchanges_.size() <= 1 && !draining_) {
-      read_ended_ = true;  // The write decides.
+    if (writing_ && exchanges_.size() <= 1 && !discarding_input_) {
+      input_ended_ = true;  // Closed once the response has been sent.
       return;
     }
     close();
   }
 
-  bool full() const { return exchanges_.size() >= kMaxPipelined; }
+  bool pipeline_full() const {
+    return exchanges_.size() >= kMaxPipelinedRequests;
+  }
 
   bool may_parse() const {
-    return !stop_parsing_ && !full() && (receiving_ || server_->accepting);
+    return !stop_parsing_ && !pipeline_full() &&
+           (receiving_ || server_->accepting);
   }
 
   void parse() {
     if (!receiving_) {
       receiving_ = true;
-      limit(server_->options.receive_limit);
+      start_timer(server_->options.receive_timeout);
     }
     error_code failed;
-    std::size_t used = parser_->put(buffer_.data(), failed);
-    buffer_.consume(used);
+    std::size_t consumed = parser_->put(buffer_.data(), failed);
+    buffer_.consume(consumed);
     if (parser_->is_header_done() && !head_checked_) {
       head_checked_ = true;
       std::string why = framing_error(parser_->get().base());
@@ -273,10 +278,10 @@
       if (!parser_->is_done()) send_continue();
     }
     if (failed == http::error::need_more) failed = {};
-    if (failed) return refuse(status_of(failed), failed.message());
-    if (parser_->is_done()) return handle();
+    if (failed) return refuse(refusal_status(failed), failed.message());
+    if (parser_->is_done()) return dispatch();
     if (buffer_.size() >= buffer_.max_size()) {
-      return refuse(431, "header too large");
+      return refuse(431, "request header too large");
     }
     read_more();
   }
@@ -293,39 +298,39 @@
   }
 
   std::shared_ptr<Exchange> add(HttpRequest request, bool keep_alive,
-                                bool head) {
+                                bool is_head_request) {
     auto exchange = std::make_shared<Exchange>(
-        weak_from_this(), std::move(request), keep_alive, head);
+        weak_from_this(), std::move(request), keep_alive, is_head_request);
     exchanges_.push_back(exchange);
     ++server_->open_exchanges;
     return exchange;
   }
 
-  void handle() {
+  void dispatch() {
     auto message = parser_->release();
     bool keep_alive = message.keep_alive();
-    bool head = message.method() == http::verb::head;
+    bool is_head_request = message.method() == http::verb::head;
     HttpRequest request = {
         std::string(message.method_string()), std::string(message.target()),
         fields_of(message.base()), std::move(message.body()), remote_};
     receiving_ = false;
     if (!writing_) timer_.cancel();
-    auto exchange = add(std::move(request), keep_alive, head);
-    // What comes behind it is sent again once its answer has closed the
-    // connection.
+    auto exchange = add(std::move(request), keep_alive, is_head_request);
+    // The response to this request closes the connection; the client sends any
+    // later requests again on another connection.
     if (!keep_alive || server_->closing) stop_parsing_ = true;
     auto self = shared_from_this();
     server_->handler(exchange);
     if (closed_) return;
-    // Goes on reading: the next request, or the sender's close.
-    if (!stop_parsing_ && !full()) return expect_request();
+    // Continues reading: the next request, or the end of the connection.
+    if (!stop_parsing_ && !pipeline_full()) return expect_request();
     if (buffer_.size() < buffer_.max_size()) read_more();
   }
 
   void refuse(int status, std::string why) {
     receiving_ = false;
     stop_parsing_ = true;
-    HttpResponse refusal = server_->refusal(status, std::move(why));
+    HttpResponse refusal = server_->make_refusal(status, std::move(why));
     refusal.close = true;
     add({}, false, false)->answer(std::move(refusal));
   }
@@ -338,27 +343,30 @@
   }
 
   void send(const Exchange& exchange) {
-    if (silent_) return;
+    if (stalled_) return;
     writing_ = true;
-    const HttpResponse& answer = *exchange.ready();
-    auto held = std::make_shared<http::response<http::string_body>>();
-    held->version(11);
-    held->result(static_cast<unsigned>(answer.status));
-    for (const auto& [name, value] : answer.headers) held->insert(name, value);
-    // Requests behind this one have been read and are owed their answers.
+    const HttpResponse& response = *exchange.response();
+    auto message = std::make_shared<http::response<http::string_body>>();
+    message->version(11);
+    message->result(static_cast<unsigned>(response.status));
+    for (const auto& [name, value] : response.headers)
+      message->insert(name, value);
+    // Later requests that have been read must be answered before the close.
     bool last = exchanges_.size() == 1;
-    bool wanted = answer.close || !exchange.keep_alive() || server_->closing;
-    close_after_ = wanted && last;
-    if (close_after_) stop_parsing_ = true;
-    held->keep_alive(!close_after_);
-    bool bodiless = answer.status == 204 || answer.status == 304;
-    held->body() = bodiless ? std::string() : answer.body;
-    if (!bodiless && !exchange.head()) held->prepare_payload();
-    if (exchange.head()) held->body().clear();
-    if (!receiving_) limit(server_->options.receive_limit);
+    bool close_requested =
+        response.close || !exchange.keep_alive() || server_->closing;
+    close_after_response_ = close_requested && last;
+    if (close_after_response_) stop_parsing_ = true;
+    message->keep_alive(!close_after_response_);
+    bool without_body = response.status == 204 || response.status == 304;
+    message->body() = without_body ? std::string() : response.body;
+    if (!without_body && !exchange.is_head_request())
+      message->prepare_payload();
+    if (exchange.is_head_request()) message->body().clear();
+    if (!receiving_) start_timer(server_->options.receive_timeout);
     http::async_write(
-        socket_, *held,
-        [self = shared_from_this(), held](error_code failed, std::size_t) {
+        socket_, *message,
+        [self = shared_from_this(), message](error_code failed, std::size_t) {
           self->on_sent(failed);
         });
   }
@@ -368,11 +376,11 @@
     if (closed_) return;
     exchanges_.pop_front();
     --server_->open_exchanges;
-    if (failed || read_ended_) return close();
-    if (close_after_) return drain_and_close();
+    if (failed || input_ended_) return close();
+    if (close_after_response_) return discard_input_and_close();
     if (!receiving_) timer_.cancel();
     if (exchanges_.empty() && !receiving_ && !stop_parsing_) {
-      limit(server_->options.idle_limit);
+      start_timer(server_->options.idle_timeout);
     }
     if (!stop_parsing_ && !receiving_ && buffer_.size() > 0) {
       expect_request();
@@ -382,13 +390,13 @@
     flush();
   }
 
-  /// Closing with unread input would reset the connection and could take the
-  /// answer away from its reader.
-  void drain_and_close() {
+  /// Closing with unread input would reset the connection, and the client could
+  /// lose the response.
+  void discard_input_and_close() {
     error_code ignored;
-    draining_ = true;
+    discarding_input_ = true;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    timer_.expires_after(kRefusalDrainLimit);
+    timer_.expires_after(kDiscardInputTimeout);
     timer_.async_wait([self = shared_from_this()](error_code failed) {
       if (!failed) self->close();
     });
@@ -408,25 +416,25 @@
   bool writing_ = false;
   bool head_checked_ = false;
   bool stop_parsing_ = false;
-  bool close_after_ = false;
-  bool draining_ = false;
-  bool read_ended_ = false;
-  bool tell_gone_ = true;
-  bool silent_ = false;
+  bool close_after_response_ = false;
+  bool discarding_input_ = false;
+  bool input_ended_ = false;
+  bool notify_abandoned_ = true;
+  bool stalled_ = false;
   bool closed_ = false;
 };
 
-void Exchange::answer(HttpResponse answer) {
-  if (ended_ || finished()) return;
-  gone_ = nullptr;
-  ready_ = std::move(answer);
+void Exchange::answer(HttpResponse response) {
+  if (connection_ended_ || finished()) return;
+  on_abandoned_ = nullptr;
+  response_ = std::move(response);
   if (auto connection = connection_.lock()) connection->flush();
 }
 
 void Exchange::send_raw_and_close(std::string bytes) {
-  if (ended_ || finished()) return;
-  gone_ = nullptr;
-  raw_ = std::move(bytes);
+  if (connection_ended_ || finished()) return;
+  on_abandoned_ = nullptr;
+  raw_bytes_ = std::move(bytes);
   if (auto connection = connection_.lock()) connection->flush();
 }
 
@@ -449,8 +457,8 @@
   });
 }
 
-HttpResponse HttpServer::Impl::refusal(int status, std::string why) const {
-  if (options.refusal) return options.refusal(status, std::move(why));
+HttpResponse HttpServer::Impl::make_refusal(int status, std::string why) const {
+  if (options.make_refusal) return options.make_refusal(status, std::move(why));
   return {status, {{"Content-Type", "text/plain"}}, why + "\n"};
 }
 
@@ -465,7 +473,7 @@
   auto address = parse_endpoint(endpoint);
   if (!address) {
     return Error{ErrorCode::kInvalid,
-                 "\"" + endpoint.str() + "\" is not an IP number with a port"};
+                 "\"" + endpoint.str() + "\" is not an IP address with a port"};
   }
   error_code failed;
   auto& acceptor = impl_->acceptor;
@@ -497,11 +505,11 @@
 void HttpServer::close_after_answers() { impl_->closing = true; }
 
 void HttpServer::set_limits(std::size_t header_bytes, std::size_t body_bytes,
-                            Duration receive_limit, Duration idle_limit) {
+                            Duration receive_timeout, Duration idle_timeout) {
   impl_->options.header_bytes = header_bytes;
   impl_->options.body_bytes = body_bytes;
-  impl_->options.receive_limit = receive_limit;
-  impl_->options.idle_limit = idle_limit;
+  impl_->options.receive_timeout = receive_timeout;
+  impl_->options.idle_timeout = idle_timeout;
 }
 
 void HttpServer::close_idle() {
@@ -516,7 +524,7 @@
 }
 
 void HttpServer::stall_connections() {
-  for (const auto& connection : impl_->connections) connection->silence();
+  for (const auto& connection : impl_->connections) connection->stall();
 }
 
 std::size_t HttpServer::connections() const {
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -14,19 +14,19 @@
 
 namespace eelgrasspin::io {
 
-/// One request on a server's connection, waiting for its answer.
+/// One request on a connection, waiting for its response.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
   virtual HttpRequest& request() = 0;
-  /// Sends the answer; only the first call counts.
-  virtual void answer(HttpResponse answer) = 0;
-  /// Called when the sender closes the connection before the answer. Attention:
-  /// cleared by answer().
-  virtual void on_abandoned(std::function<void()> gone) = 0;
+  /// Sends the response. Only the first call has an effect.
+  virtual void answer(HttpResponse response) = 0;
+  /// Sets a callback for the case that the client closes the connection before
+  /// the response. answer() clears it.
+  virtual void on_abandoned(std::function<void()> callback) = 0;
   /// Sends these bytes as they are and closes the connection.
   virtual void send_raw_and_close(std::string bytes) = 0;
-  /// Closes the connection without an answer.
+  /// Closes the connection without a response.
   virtual void abort() = 0;
 };
 
@@ -35,11 +35,12 @@
   std::size_t body_bytes = config::kMaxBodyBytes;
   std::size_t connections = config::kMaxCallerConnections;
   /// Longest time from the first byte of a request to its last.
-  Duration receive_limit = config::kRequestReceiveTimeout;
+  Duration receive_timeout = config::kReceiveLimit;
   /// Longest time a connection stays open without a request.
-  Duration idle_limit = config::kIdleConnectionTimeout;
-  /// Builds the answer to a request that is refused before it is whole.
-  std::function<HttpResponse(int status, std::string why)> refusal;
+  Duration idle_timeout = config::kIdleConnectionLimit;
+  /// Builds the response to a request that is refused before it was completely
+  /// received.
+  std::function<HttpResponse(int status, std::string why)> make_refusal;
 };
 
 /// HTTP/1.1 server on one port. Not thread safe; lives on one io_context.
@@ -53,27 +54,28 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Binds the port; an error says why it could not.
+  /// Binds the port; an error says why that failed.
   std::optional<Error> listen(const Endpoint& endpoint);
-  /// Where it listens, with the port the system chose for port 0.
+  /// Address and port it listens on. For port 0, the port that the system
+  /// chose.
   Endpoint bound_endpoint() const;
-  /// Takes no more connections, and no more requests on those it has.
+  /// Accepts no further connections, and no further requests on open ones.
   void stop_accepting();
-  /// Each connection takes at most one more request and is closed after its
-  /// last answer.
+  /// Each connection accepts at most one more request and is closed after its
+  /// last response.
   void close_after_answers();
-  /// Limits for requests and connections from now on.
+  /// Sets the limits for later requests and connections.
   void set_limits(std::size_t header_bytes, std::size_t body_bytes,
-                  Duration receive_limit, Duration idle_limit);
-  /// Closes connections on which no request is under way.
+                  Duration receive_timeout, Duration idle_timeout);
+  /// Closes connections without a request in progress.
   void close_idle();
   /// Closes every connection.
   void close();
-  /// Connections that now exist neither receive nor answer any more, without
-  /// being closed. For stand-ins and tests.
+  /// Open connections stop receiving and answering without being closed. For
+  /// stand-ins and tests.
   void stall_connections();
   std::size_t connections() const;
-  /// Requests received and not yet answered in full.
+  /// Number of requests whose response has not been sent completely.
   std::size_t open_exchanges() const;
 
   struct Impl;
--- a/src/io/http_types.cc
+++ b/src/io/http_types.cc
@@ -75,16 +75,16 @@
 }
 
 HeaderFields end_to_end_headers(const HeaderFields& headers) {
-  HeaderFields kept;
+  HeaderFields end_to_end;
   for (const auto& [name, value] : headers) {
     if (is_hop_by_hop(name)) continue;
     if (equal_ignoring_case(name, "content-length")) continue;
     if (equal_ignoring_case(name, "expect")) continue;
     if (starts_with_ignoring_case(name, kOwnPrefix)) continue;
     if (named_by_connection(headers, name)) continue;
-    kept.emplace_back(name, value);
+    end_to_end.emplace_back(name, value);
   }
-  return kept;
+  return end_to_end;
 }
 
 std::optional<std::uint64_t> parse_number(std::string_view text) {
@@ -103,13 +103,13 @@
 
 std::string percent_encode(std::string_view text) {
   static constexpr std::string_view kDigits = "0123456789ABCDEF";
-  static constexpr std::string_view kPlain = "-._~/";
+  static constexpr std::string_view kUnreserved = "-._~/";
   std::string encoded;
   encoded.reserve(text.size());
   for (char c : text) {
     auto byte = static_cast<unsigned char>(c);
-    if (byte < 0x80 &&
-        (std::isalnum(byte) != 0 || kPlain.find(c) != std::string_view::npos)) {
+    if (byte < 0x80 && (std::isalnum(byte) != 0 ||
+                        kUnreserved.find(c) != std::string_view::npos)) {
       encoded += c;
       continue;
     }
@@ -137,15 +137,16 @@
 }
 
 std::string query_parameter(std::string_view target, std::string_view name) {
-  std::size_t mark = target.find('?');
-  if (mark == std::string_view::npos) return {};
-  std::string_view rest = target.substr(mark + 1);
+  std::size_t question_mark = target.find('?');
+  if (question_mark == std::string_view::npos) return {};
+  std::string_view rest = target.substr(question_mark + 1);
   while (!rest.empty()) {
     std::size_t end = rest.find('&');
-    std::string_view pair = rest.substr(0, end);
-    std::size_t equals = pair.find('=');
-    if (equals != std::string_view::npos && pair.substr(0, equals) == name) {
-      return percent_decode(pair.substr(equals + 1));
+    std::string_view parameter = rest.substr(0, end);
+    std::size_t equals = parameter.find('=');
+    if (equals != std::string_view::npos &&
+        parameter.substr(0, equals) == name) {
+      return percent_decode(parameter.substr(equals + 1));
     }
     if (end == std::string_view::npos) break;
     rest.remove_prefix(end + 1);
--- a/src/io/http_types.h
+++ b/src/io/http_types.h
@@ -20,7 +20,7 @@
   std::string target;  ///< Path with query.
   HeaderFields headers;
   std::string body;
-  Endpoint remote;  ///< Who sent it; empty on the client side.
+  Endpoint remote;  ///< Address of the sender; empty on the client side.
 };
 
 struct HttpResponse {
@@ -30,21 +30,22 @@
   bool close = false;  ///< Close the connection after this answer.
 };
 
-/// First field of this name, compared without case; null if there is none.
+/// Value of the first field of this name, compared without case; null if there
+/// is none.
 const std::string* find_header(const HeaderFields& headers,
                                std::string_view name);
 std::size_t count_headers(const HeaderFields& headers, std::string_view name);
 bool equal_ignoring_case(std::string_view left, std::string_view right);
 
-/// Fields that concern one connection only and are not passed on.
+/// Whether the field concerns a single connection and is not forwarded.
 bool is_hop_by_hop(std::string_view name);
-/// Fields that are passed on: neither hop-by-hop, nor the project's own, nor
-/// named by Connection.
+/// The fields that are forwarded: all but hop-by-hop fields, fields named by
+/// Connection, Content-Length, Expect and this project's own fields.
 HeaderFields end_to_end_headers(const HeaderFields& headers);
 
 /// A decimal number without sign or spaces; empty if the text is anything else.
 std::optional<std::uint64_t> parse_number(std::string_view text);
-/// The named field as a number; empty if absent or not one.
+/// The named field as a number; empty if it is absent or not a number.
 std::optional<std::uint64_t> number_header(const HeaderFields& headers,
                                            std::string_view name);
 
--- a/src/io/log.cc
+++ b/src/io/log.cc
@@ -36,7 +36,7 @@
          });
 }
 
-std::string quoted(std::string_view text) {
+std::string quote_if_needed(std::string_view text) {
   if (!needs_quotes(text)) return std::string(text);
   std::string result = "\"";
   for (char c : text) {
@@ -46,69 +46,69 @@
   return result + "\"";
 }
 
-int least_level(std::string_view level) {
+int min_level(std::string_view level) {
   const auto* found = std::find(kLevelNames.begin(), kLevelNames.end(), level);
   return found == kLevelNames.end()
              ? static_cast<int>(LogLevel::kInfo)
              : static_cast<int>(found - kLevelNames.begin());
 }
 
-/// Most bytes that wait for the reader of standard output.
-constexpr std::size_t kMaxPendingBytes = 128 * 1024;
+/// Lines are dropped while this much waits for the reader of standard output.
+constexpr std::size_t kMaxBufferedBytes = 128 * 1024;
 
-/// Writes lines to standard output without waiting.
-class PipeBackend : public logging::sinks::basic_formatted_sink_backend<
-                        char, logging::sinks::synchronized_feeding> {
+/// Writes lines to standard output without blocking.
+class NonblockingStdout : public logging::sinks::basic_formatted_sink_backend<
+                              char, logging::sinks::synchronized_feeding> {
  public:
-  PipeBackend() {
+  NonblockingStdout() {
     int flags = ::fcntl(STDOUT_FILENO, F_GETFL);
     if (flags >= 0) ::fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
   }
 
   void consume(const logging::record_view& /*record*/,
                const string_type& line) {
-    if (pending_.size() + line.size() + 1 > kMaxPendingBytes) {
-      ++lost_;
+    if (buffer_.size() + line.size() + 1 > kMaxBufferedBytes) {
+      ++dropped_;
       return;
     }
-    pending_ += line;
-    pending_ += '\n';
-    ssize_t count = ::write(STDOUT_FILENO, pending_.data(), pending_.size());
-    if (count > 0) pending_.erase(0, static_cast<std::size_t>(count));
+    buffer_ += line;
+    buffer_ += '\n';
+    ssize_t count = ::write(STDOUT_FILENO, buffer_.data(), buffer_.size());
+    if (count > 0) buffer_.erase(0, static_cast<std::size_t>(count));
   }
 
-  std::uint64_t lost() const { return lost_; }
+  std::uint64_t dropped() const { return dropped_; }
 
  private:
-  std::string pending_;
-  std::uint64_t lost_ = 0;
+  std::string buffer_;
+  std::uint64_t dropped_ = 0;
 };
 
-boost::shared_ptr<PipeBackend>& pipe_backend() {
-  static boost::shared_ptr<PipeBackend> backend;
+boost::shared_ptr<NonblockingStdout>& nonblocking_stdout() {
+  static boost::shared_ptr<NonblockingStdout> backend;
   return backend;
 }
 
 }  // namespace
 
 void open_nonblocking_log(std::string_view level) {
-  using Sink = logging::sinks::synchronous_sink<PipeBackend>;
-  if (!pipe_backend()) {
-    pipe_backend() = boost::make_shared<PipeBackend>();
-    auto sink = boost::make_shared<Sink>(pipe_backend());
+  using Sink = logging::sinks::synchronous_sink<NonblockingStdout>;
+  if (!nonblocking_stdout()) {
+    nonblocking_stdout() = boost::make_shared<NonblockingStdout>();
+    auto sink = boost::make_shared<Sink>(nonblocking_stdout());
     sink->set_formatter(logging::expressions::stream
                         << logging::expressions::smessage);
     logging::core::get()->add_sink(sink);
   }
-  logging::core::get()->set_filter(severity >= least_level(level));
+  logging::core::get()->set_filter(severity >= min_level(level));
 }
 
-std::uint64_t log_lines_lost() {
-  return pipe_backend() ? pipe_backend()->lost() : 0;
+std::uint64_t log_lines_dropped() {
+  return nonblocking_stdout() ? nonblocking_stdout()->dropped() : 0;
 }
 
 void open_log(std::string_view level) {
-  int least = least_level(level);
+  int min_severity = min_level(level);
   static bool sink_added = false;
   if (!sink_added) {
     logging::add_console_log(
@@ -118,7 +118,7 @@
         logging::keywords::auto_flush = true);
     sink_added = true;
   }
-  logging::core::get()->set_filter(severity >= least);
+  logging::core::get()->set_filter(severity >= min_severity);
 }
 
 std::string format_fields(const LogFields& fields) {
@@ -127,7 +127,7 @@
     if (!line.empty()) line += ' ';
     line += key;
     line += '=';
-    line += quoted(value);
+    line += quote_if_needed(value);
   }
   return line;
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -8,24 +8,25 @@
 
 #include "eelgrasspin/timeline.h"
 
-/// Log of one line of key=value pairs for each event, to standard error.
+/// Log with one line of key=value pairs per event.
 namespace eelgrasspin::io {
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
 using LogFields = std::vector<std::pair<std::string_view, std::string>>;
 
-/// Drops lines below `level`: "debug", "info", "warning" or "error".
+/// Logs to standard error. Drops lines below `level`: "debug", "info",
+/// "warning" or "error"; any other text means "info".
 void open_log(std::string_view level);
-/// Like open_log(), to standard output without ever waiting for its reader:
-/// what does not fit into the pipe is kept up to a bound, then left out.
+/// Like open_log(), but to standard output and without ever waiting for its
+/// reader: a bounded number of bytes is buffered, further lines are dropped.
 void open_nonblocking_log(std::string_view level);
-/// Lines left out since the start because the reader was too slow.
-std::uint64_t log_lines_lost();
+/// Lines dropped since the start because the reader was too slow.
+std::uint64_t log_lines_dropped();
 void log_line(LogLevel level, const LogFields& fields);
 void log_event(const TimelineEvent& event);
 
-/// "key=value key="quoted value"", without line breaks.
+/// The fields as 'key=value key="quoted value"', without line breaks.
 std::string format_fields(const LogFields& fields);
 
 }  // namespace eelgrasspin::io
--- a/src/io/log_rate_limiter.cc
+++ b/src/io/log_rate_limiter.cc
@@ -5,7 +5,7 @@
 constexpr Duration kWindow = seconds(1);
 }  // namespace
 
-bool LogRateLimiter::take(std::string_view kind, TimePoint now) {
+bool LogRateLimiter::allow(std::string_view kind, TimePoint now) {
   auto found = windows_.find(kind);
   if (found == windows_.end()) {
     found = windows_.emplace(std::string(kind), Window{now}).first;
@@ -16,20 +16,20 @@
     window.written = 0;
   }
   if (window.written >= lines_per_second_) {
-    ++window.left_out;
+    ++window.dropped;
     return false;
   }
   ++window.written;
   return true;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> LogRateLimiter::left_out(
+std::vector<std::pair<std::string, std::uint64_t>> LogRateLimiter::take_dropped(
     TimePoint now) {
   std::vector<std::pair<std::string, std::uint64_t>> result;
   for (auto& [kind, window] : windows_) {
-    if (window.left_out == 0 || now - window.start < kWindow) continue;
-    result.emplace_back(kind, window.left_out);
-    window.left_out = 0;
+    if (window.dropped == 0 || now - window.start < kWindow) continue;
+    result.emplace_back(kind, window.dropped);
+    window.dropped = 0;
   }
   return result;
 }
--- a/src/io/log_rate_limiter.h
+++ b/src/io/log_rate_limiter.h
@@ -12,23 +12,24 @@
 
 namespace eelgrasspin::io {
 
-/// Bounds the lines of each kind in each second.
+/// Bounds the number of log lines of each kind in each second.
 class LogRateLimiter {
  public:
   explicit LogRateLimiter(std::uint32_t lines_per_second)
       : lines_per_second_(lines_per_second) {}
 
   /// Whether a line of this kind may be written now.
-  bool take(std::string_view kind, TimePoint now);
-  /// Kinds with lines left out in seconds that have passed, with their counts;
-  /// each is returned once.
-  std::vector<std::pair<std::string, std::uint64_t>> left_out(TimePoint now);
+  bool allow(std::string_view kind, TimePoint now);
+  /// Kinds that had lines dropped in a second that has passed, with the number
+  /// of lines. Each drop is returned once.
+  std::vector<std::pair<std::string, std::uint64_t>> take_dropped(
+      TimePoint now);
 
  private:
   struct Window {
     TimePoint start;
     std::uint32_t written = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t dropped = 0;
   };
   std::uint32_t lines_per_second_;
   std::map<std::string, Window, std::less<>> windows_;
--- a/src/io/metrics.h
+++ b/src/io/metrics.h
@@ -22,19 +22,20 @@
   const Histogram* histogram = nullptr;
 };
 
-/// One counter of a family that its labels tell apart.
+/// One counter of a family, identified by its labels.
 struct LabelledCounter {
   std::string labels;  ///< "key=\"value\",...", without the braces.
   std::uint64_t value = 0;
 };
 
-/// Prometheus text of one family of counters.
+// Each function returns Prometheus text.
+/// One family of counters.
 std::string print_counters(std::string_view name, std::string_view help,
                            const std::vector<LabelledCounter>& counters);
 std::string print_gauges(const std::vector<Gauge>& gauges);
 std::string print_histograms(const std::vector<NamedHistogram>& histograms);
 
-/// Prometheus text.
+/// Counters, gauges and histograms together.
 std::string print_metrics(const core::Counters& counters,
                           const std::vector<Gauge>& gauges,
                           const std::vector<NamedHistogram>& histograms);
--- a/src/io/object_store_http.cc
+++ b/src/io/object_store_http.cc
@@ -14,7 +14,7 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 
-StoreResult unavailable(const HttpResult& result) {
+StoreResult unavailable_result(const HttpResult& result) {
   if (const auto* failure = std::get_if<HttpFailure>(&result)) {
     return StoreUnavailable{failure->why};
   }
@@ -22,9 +22,9 @@
       "status " + std::to_string(std::get<HttpResponse>(result).status)};
 }
 
-std::optional<Version> version_header(const HttpResponse& answer,
+std::optional<Version> version_header(const HttpResponse& response,
                                       std::string_view name) {
-  auto number = number_header(answer.headers, name);
+  auto number = number_header(response.headers, name);
   if (!number) return std::nullopt;
   return Version(*number);
 }
@@ -35,31 +35,31 @@
   return {key, version, codec::decode_record(key, text)};
 }
 
-StoreResult read_answer(const StoreKey& key, const HttpResult& result) {
-  const auto* answer = std::get_if<HttpResponse>(&result);
-  if (answer == nullptr) return unavailable(result);
-  auto revision = version_header(*answer, "store-revision");
-  if (!revision) return unavailable(result);
-  if (answer->status == kNotFound) {
+StoreResult read_result(const StoreKey& key, const HttpResult& result) {
+  const auto* response = std::get_if<HttpResponse>(&result);
+  if (response == nullptr) return unavailable_result(result);
+  auto revision = version_header(*response, "store-revision");
+  if (!revision) return unavailable_result(result);
+  if (response->status == kNotFound) {
     Version version =
-        version_header(*answer, "store-version").value_or(Version(0));
+        version_header(*response, "store-version").value_or(Version(0));
     return StoreRead{*revision, {{key, version, std::monostate()}}};
   }
-  auto version = version_header(*answer, "store-version");
-  if (answer->status != kOk || !version) return unavailable(result);
-  return StoreRead{*revision, {decode_entry(key, *version, answer->body)}};
+  auto version = version_header(*response, "store-version");
+  if (response->status != kOk || !version) return unavailable_result(result);
+  return StoreRead{*revision, {decode_entry(key, *version, response->body)}};
 }
 
-StoreResult write_answer(const StoreKey& key, const HttpResult& result) {
-  const auto* answer = std::get_if<HttpResponse>(&result);
-  if (answer == nullptr) return unavailable(result);
-  auto version = version_header(*answer, "store-version");
-  if (!version) return unavailable(result);
-  if (answer->status == kOk) return StoreWritten{*version};
-  if (answer->status == kConflict) {
-    return StoreConflict{decode_entry(key, *version, answer->body)};
+StoreResult write_result(const StoreKey& key, const HttpResult& result) {
+  const auto* response = std::get_if<HttpResponse>(&result);
+  if (response == nullptr) return unavailable_result(result);
+  auto version = version_header(*response, "store-version");
+  if (!version) return unavailable_result(result);
+  if (response->status == kOk) return StoreWritten{*version};
+  if (response->status == kConflict) {
+    return StoreConflict{decode_entry(key, *version, response->body)};
   }
-  return unavailable(result);
+  return unavailable_result(result);
 }
 
 std::optional<StoreEntry> decode_list_item(const json::value& item) {
@@ -78,13 +78,14 @@
   return decode_entry(store_key, number, text->get_string());
 }
 
-StoreResult list_answer(const HttpResult& result) {
-  const auto* answer = std::get_if<HttpResponse>(&result);
-  if (answer == nullptr || answer->status != kOk) return unavailable(result);
-  auto revision = version_header(*answer, "store-revision");
-  if (!revision) return unavailable(result);
+StoreResult list_result(const HttpResult& result) {
+  const auto* response = std::get_if<HttpResponse>(&result);
+  if (response == nullptr || response->status != kOk)
+    return unavailable_result(result);
+  auto revision = version_header(*response, "store-revision");
+  if (!revision) return unavailable_result(result);
   boost::system::error_code failed;
-  json::value parsed = json::parse(answer->body, failed);
+  json::value parsed = json::parse(response->body, failed);
   if (failed || !parsed.is_array()) return StoreUnavailable{"unreadable list"};
   StoreRead read{*revision, {}};
   for (const json::value& item : parsed.get_array()) {
@@ -95,7 +96,7 @@
   return read;
 }
 
-std::string target(std::string_view path, const StoreKey& key) {
+std::string make_target(std::string_view path, const StoreKey& key) {
   return std::string(path) + percent_encode(key.str());
 }
 
@@ -103,48 +104,48 @@
 
 ObjectStoreHttp::ObjectStoreHttp(boost::asio::io_context& io,
                                  const Endpoint& endpoint)
-    : calls_(io, endpoint), watches_(io, endpoint) {}
+    : call_client_(io, endpoint), watch_client_(io, endpoint) {}
 
 void ObjectStoreHttp::read(const StoreKey& key, Callback done) {
-  calls_.call({"GET", target("/store/", key), {}, {}, {}},
-              config::kStoreTimeout,
-              [key, done = std::move(done)](const HttpResult& result) {
-                done(read_answer(key, result));
-              });
+  call_client_.call({"GET", make_target("/store/", key), {}, {}, {}},
+                    config::kStoreTimeout,
+                    [key, done = std::move(done)](const HttpResult& result) {
+                      done(read_result(key, result));
+                    });
 }
 
 void ObjectStoreHttp::list(const StoreKey& prefix, Callback done) {
-  calls_.call({"GET", target("/list?prefix=", prefix), {}, {}, {}},
-              config::kStoreTimeout,
-              [done = std::move(done)](const HttpResult& result) {
-                done(list_answer(result));
-              });
+  call_client_.call({"GET", make_target("/list?prefix=", prefix), {}, {}, {}},
+                    config::kStoreTimeout,
+                    [done = std::move(done)](const HttpResult& result) {
+                      done(list_result(result));
+                    });
 }
 
 void ObjectStoreHttp::write(const StoreKey& key, Version expected,
                             const Record& record, Callback done) {
   HeaderFields headers = {{"If-Version", std::to_string(expected.value)}};
-  calls_.call({"PUT",
-               target("/store/", key),
-               std::move(headers),
-               codec::encode_record(record),
-               {}},
-              config::kStoreTimeout,
-              [key, done = std::move(done)](const HttpResult& result) {
-                done(write_answer(key, result));
-              });
+  call_client_.call({"PUT",
+                     make_target("/store/", key),
+                     std::move(headers),
+                     codec::encode_record(record),
+                     {}},
+                    config::kStoreTimeout,
+                    [key, done = std::move(done)](const HttpResult& result) {
+                      done(write_result(key, result));
+                    });
 }
 
 void ObjectStoreHttp::watch(const StoreKey& prefix, Version since,
                             Duration wait, Callback done) {
-  std::string query = target("/watch?prefix=", prefix) +
+  std::string query = make_target("/watch?prefix=", prefix) +
                       "&since=" + std::to_string(since.value) +
                       "&wait_ms=" + std::to_string(to_ms(wait));
-  watches_.call({"GET", std::move(query), {}, {}, {}},
-                wait + config::kStoreTimeout,
-                [done = std::move(done)](const HttpResult& result) {
-                  done(list_answer(result));
-                });
+  watch_client_.call({"GET", std::move(query), {}, {}, {}},
+                     wait + config::kStoreTimeout,
+                     [done = std::move(done)](const HttpResult& result) {
+                       done(list_result(result));
+                     });
 }
 
 VmListHttp::VmListHttp(boost::asio::io_context& io, const Endpoint& endpoint)
@@ -153,11 +154,11 @@
 void VmListHttp::list(Callback done) {
   client_.call({"GET", "/vms", {}, {}, {}}, config::kStoreTimeout,
                [done = std::move(done)](const HttpResult& result) {
-                 const auto* answer = std::get_if<HttpResponse>(&result);
-                 if (answer == nullptr || answer->status != kOk) {
+                 const auto* response = std::get_if<HttpResponse>(&result);
+                 if (response == nullptr || response->status != kOk) {
                    return done(Error{ErrorCode::kUnavailable, "no VM list"});
                  }
-                 done(codec::decode_vms(answer->body));
+                 done(codec::decode_vms(response->body));
                });
 }
 
--- a/src/io/object_store_http.h
+++ b/src/io/object_store_http.h
@@ -7,7 +7,8 @@
 
 namespace eelgrasspin::io {
 
-/// The platform's object store over HTTP; protocol in docs/design/platform.md.
+/// Client of the platform's object store, over HTTP. docs/design/platform.md
+/// describes the protocol.
 class ObjectStoreHttp : public ObjectStore {
  public:
   ObjectStoreHttp(boost::asio::io_context& io, const Endpoint& endpoint);
@@ -20,11 +21,11 @@
              Callback done) override;
 
  private:
-  HttpClient calls_;
-  HttpClient watches_;
+  HttpClient call_client_;
+  HttpClient watch_client_;
 };
 
-/// The platform's VM list over HTTP: GET /vms.
+/// Client of the platform's VM list, over HTTP: GET /vms.
 class VmListHttp : public VmList {
  public:
   VmListHttp(boost::asio::io_context& io, const Endpoint& endpoint);
--- a/src/io/operator_http.cc
+++ b/src/io/operator_http.cc
@@ -9,24 +9,24 @@
 namespace eelgrasspin::io {
 namespace {
 
-constexpr std::string_view kBearer = "Bearer ";
+constexpr std::string_view kBearerPrefix = "Bearer ";
 constexpr std::size_t kMaxCommandBytes = 64 * 1024;
 constexpr std::size_t kMaxCommandIdBytes = 128;
 
-HttpResponse text_answer(int status, std::string text) {
+HttpResponse text_response(int status, std::string text) {
   return {status,
           {{"Content-Type", "text/plain; charset=utf-8"}},
           std::move(text),
           false};
 }
 
-HttpResponse findings_answer(const std::vector<Finding>& findings) {
+HttpResponse findings_response(const std::vector<Finding>& findings) {
   std::string lines;
   for (const Finding& finding : findings) lines += to_string(finding) + "\n";
-  return text_answer(422, std::move(lines));
+  return text_response(422, std::move(lines));
 }
 
-int status_of(const CommandAnswer& answer) {
+int http_status_of(const CommandAnswer& answer) {
   if (!answer.error) return 200;
   switch (answer.error->code) {
     case ErrorCode::kInvalid:
@@ -43,12 +43,13 @@
   return 500;
 }
 
-/// Takes as long for every text of the same length as `given`.
-bool equal_in_constant_time(std::string_view given, std::string_view token) {
-  unsigned difference = given.size() == token.size() ? 0 : 1;
-  for (std::size_t i = 0; i < given.size(); ++i) {
+/// The time depends only on the length of `given_token`.
+bool equal_in_constant_time(std::string_view given_token,
+                            std::string_view token) {
+  unsigned difference = given_token.size() == token.size() ? 0 : 1;
+  for (std::size_t i = 0; i < given_token.size(); ++i) {
     char other = token.empty() ? '\0' : token[i % token.size()];
-    difference |= static_cast<unsigned char>(given[i]) ^
+    difference |= static_cast<unsigned char>(given_token[i]) ^
                   static_cast<unsigned char>(other);
   }
   return difference == 0 && !token.empty();
@@ -65,21 +66,22 @@
     const HeaderFields& headers,
     const std::map<OperatorName, std::string>& tokens) {
   const std::string* field = find_header(headers, "authorization");
-  if (field == nullptr || !field->starts_with(kBearer)) return std::nullopt;
-  std::string_view given = *field;
-  given.remove_prefix(kBearer.size());
+  if (field == nullptr || !field->starts_with(kBearerPrefix))
+    return std::nullopt;
+  std::string_view given_token = *field;
+  given_token.remove_prefix(kBearerPrefix.size());
   std::optional<OperatorName> found;
   for (const auto& [name, token] : tokens) {
-    if (equal_in_constant_time(given, token)) found = name;
+    if (equal_in_constant_time(given_token, token)) found = name;
   }
   return found;
 }
 
 OperatorPort::OperatorPort(boost::asio::io_context& io,
                            std::map<OperatorName, std::string> tokens,
-                           std::string run_name, Handlers handlers)
+                           std::string id_prefix, Handlers handlers)
     : tokens_(std::move(tokens)),
-      run_name_(std::move(run_name)),
+      id_prefix_(std::move(id_prefix)),
       handlers_(std::move(handlers)),
       server_(io, {}, [this](const std::shared_ptr<HttpExchange>& exchange) {
         handle(exchange);
@@ -90,7 +92,7 @@
   if (found == calls_.end()) return;
   std::shared_ptr<HttpExchange> exchange = std::move(found->second);
   calls_.erase(found);
-  exchange->answer({status_of(answer),
+  exchange->answer({http_status_of(answer),
                     {{"Content-Type", "application/json"}},
                     codec::encode_answer(answer) + "\n",
                     false});
@@ -102,17 +104,17 @@
   if (request.method == "GET" && path == "/health") {
     bool healthy = handlers_.healthy();
     return exchange->answer(
-        text_answer(healthy ? 200 : 503, healthy ? "ok\n" : "stopping\n"));
+        text_response(healthy ? 200 : 503, healthy ? "ok\n" : "stopping\n"));
   }
   if (request.method == "GET" && path == "/metrics") {
-    return exchange->answer(text_answer(200, handlers_.metrics()));
+    return exchange->answer(text_response(200, handlers_.metrics()));
   }
   auto name = authenticate(request.headers, tokens_);
   if (!name) {
-    HttpResponse refused =
-        text_answer(401, "a named operator's token is needed\n");
-    refused.headers.emplace_back("WWW-Authenticate", "Bearer");
-    return exchange->answer(std::move(refused));
+    HttpResponse unauthorized =
+        text_response(401, "an operator's bearer token is required\n");
+    unauthorized.headers.emplace_back("WWW-Authenticate", "Bearer");
+    return exchange->answer(std::move(unauthorized));
   }
   if (request.method == "POST" && path == "/command") {
     return handle_command(exchange, *name);
@@ -122,37 +124,38 @@
   }
   if (request.method == "GET" && path == "/declarations") {
     DeclarationsText current = handlers_.declarations();
-    HttpResponse answer = text_answer(current.version.value > 0 ? 200 : 404,
-                                      std::move(current.text));
-    answer.headers.emplace_back("Eelgrasspin-Version",
-                                std::to_string(current.version.value));
-    return exchange->answer(std::move(answer));
+    HttpResponse response = text_response(current.version.value > 0 ? 200 : 404,
+                                          std::move(current.text));
+    response.headers.emplace_back("Eelgrasspin-Version",
+                                  std::to_string(current.version.value));
+    return exchange->answer(std::move(response));
   }
-  exchange->answer(text_answer(404, "no such path\n"));
+  exchange->answer(text_response(404, "no such path\n"));
 }
 
 void OperatorPort::handle_command(const std::shared_ptr<HttpExchange>& exchange,
                                   const OperatorName& name) {
   const HttpRequest& request = exchange->request();
   if (request.body.size() > kMaxCommandBytes) {
-    return exchange->answer(text_answer(413, "command too long\n"));
+    return exchange->answer(text_response(413, "command too long\n"));
   }
   auto parsed = lang::parse(request.body);
   if (const auto* findings = std::get_if<std::vector<Finding>>(&parsed)) {
-    return exchange->answer(findings_answer(*findings));
+    return exchange->answer(findings_response(*findings));
   }
   const std::string* id =
       find_header(request.headers, "eelgrasspin-command-id");
   if (id != nullptr && (id->empty() || id->size() > kMaxCommandIdBytes)) {
-    return exchange->answer(text_answer(400, "unusable command id\n"));
+    return exchange->answer(
+        text_response(400, "command id is empty or too long\n"));
   }
   OperatorCommand command{
       name,
       CommandId(id != nullptr ? *id
-                              : run_name_ + "-" + std::to_string(next_call_)),
+                              : id_prefix_ + "-" + std::to_string(next_call_)),
       request.body, std::get<Command>(std::move(parsed)),
       base_version(request.headers)};
-  handlers_.on_command(hold(exchange), std::move(command));
+  handlers_.on_command(register_call(exchange), std::move(command));
 }
 
 void OperatorPort::handle_declarations(
@@ -162,15 +165,15 @@
   auto read = config::read_declarations(
       request.body, file != nullptr ? *file : "declarations");
   if (const auto* findings = std::get_if<std::vector<Finding>>(&read)) {
-    return exchange->answer(findings_answer(*findings));
+    return exchange->answer(findings_response(*findings));
   }
   OperatorDeclarations declarations{name,
                                     std::get<Declarations>(std::move(read)),
                                     base_version(request.headers)};
-  handlers_.on_declarations(hold(exchange), std::move(declarations));
+  handlers_.on_declarations(register_call(exchange), std::move(declarations));
 }
 
-OperatorCallId OperatorPort::hold(
+OperatorCallId OperatorPort::register_call(
     const std::shared_ptr<HttpExchange>& exchange) {
   OperatorCallId call(next_call_++);
   calls_[call] = exchange;
--- a/src/io/operator_http.h
+++ b/src/io/operator_http.h
@@ -15,7 +15,7 @@
 
 namespace eelgrasspin::io {
 
-/// Declarations as they are in force; `version` 0 if there are none.
+/// The declarations in force; `version` is 0 if there are none.
 struct DeclarationsText {
   Version version;
   std::string text;
@@ -35,7 +35,7 @@
   Version base;
 };
 
-/// Port for operators, health and metrics.
+/// HTTP port for operators, the health check and metrics.
 class OperatorPort {
  public:
   struct Handlers {
@@ -46,10 +46,11 @@
     std::function<bool()> healthy;
   };
 
-  /// `run_name` makes generated command ids differ between daemons and runs.
+  /// `id_prefix` starts every generated command id. It must differ between
+  /// daemons and between incarnations of one daemon.
   OperatorPort(boost::asio::io_context& io,
-               std::map<OperatorName, std::string> tokens, std::string run_name,
-               Handlers handlers);
+               std::map<OperatorName, std::string> tokens,
+               std::string id_prefix, Handlers handlers);
 
   HttpServer& server() { return server_; }
   void reply(OperatorCallId call, const CommandAnswer& answer);
@@ -60,18 +61,18 @@
                       const OperatorName& name);
   void handle_declarations(const std::shared_ptr<HttpExchange>& exchange,
                            const OperatorName& name);
-  OperatorCallId hold(const std::shared_ptr<HttpExchange>& exchange);
+  OperatorCallId register_call(const std::shared_ptr<HttpExchange>& exchange);
 
   std::map<OperatorName, std::string> tokens_;
-  std::string run_name_;
+  std::string id_prefix_;
   Handlers handlers_;
   std::map<OperatorCallId, std::shared_ptr<HttpExchange>> calls_;
   std::uint64_t next_call_ = 1;
   HttpServer server_;
 };
 
-/// The operator whose token is in the Authorization field; compares every token
-/// in constant time.
+/// The operator whose token is in the Authorization field. Compares with every
+/// token in constant time.
 std::optional<OperatorName> authenticate(
     const HeaderFields& headers,
     const std::map<OperatorName, std::string>& tokens);
--- a/src/io/request_fields.cc
+++ b/src/io/request_fields.cc
@@ -8,37 +8,38 @@
 
 constexpr std::string_view kOwnPrefix = "eelgrasspin-";
 
-/// Fields of the caller or of the backend server, without the streams' own.
-HeaderFields carried_headers(HeaderFields headers) {
+/// Header fields of the caller or backend server: without pseudo-header fields
+/// and this project's own fields.
+HeaderFields payload_headers(HeaderFields headers) {
   std::erase_if(headers, [](const auto& field) {
     return field.first.starts_with(':') || field.first.starts_with(kOwnPrefix);
   });
   return headers;
 }
 
-std::string text_of(const H2Message& message, std::string_view name) {
+std::string text_field(const H2Message& message, std::string_view name) {
   const std::string* text = find_header(message.headers, name);
   return text == nullptr ? std::string() : *text;
 }
 
-std::uint64_t number_of(const H2Message& message, std::string_view name) {
+std::uint64_t number_field(const H2Message& message, std::string_view name) {
   return number_header(message.headers, name).value_or(0);
 }
 
 std::shared_ptr<const Payload> take_payload(H2Message message) {
   auto payload = std::make_shared<Payload>();
-  payload->headers = carried_headers(std::move(message.headers));
+  payload->headers = payload_headers(std::move(message.headers));
   payload->body = std::move(message.body);
   return payload;
 }
 
-AttemptReply unreadable() {
+AttemptReply unreadable_reply() {
   return {AttemptUnknown{Reason::kTruncatedAnswer, false}, nullptr};
 }
 
 }  // namespace
 
-std::optional<Reason> reason_from(std::string_view text) {
+std::optional<Reason> parse_reason(std::string_view text) {
   for (std::size_t i = 0; i < static_cast<std::size_t>(Reason::kCount); ++i) {
     auto reason = static_cast<Reason>(i);
     if (to_string(reason) == text) return reason;
@@ -46,7 +47,7 @@
   return std::nullopt;
 }
 
-std::optional<Outcome> outcome_from(std::string_view text) {
+std::optional<Outcome> parse_outcome(std::string_view text) {
   for (Outcome outcome :
        {Outcome::kAnswered, Outcome::kNotRun, Outcome::kUnknown}) {
     if (to_string(outcome) == text) return outcome;
@@ -87,11 +88,11 @@
 std::optional<DecodedRequest> decode_request(H2Message message) {
   DecodedRequest request;
   RequestHead& head = request.head;
-  head.service = ServiceName(text_of(message, "eelgrasspin-service"));
-  head.method = text_of(message, "eelgrasspin-method");
-  head.path = text_of(message, "eelgrasspin-path");
-  head.caller = CallerName(text_of(message, "eelgrasspin-caller"));
-  head.idempotency_key = text_of(message, "eelgrasspin-idempotency-key");
+  head.service = ServiceName(text_field(message, "eelgrasspin-service"));
+  head.method = text_field(message, "eelgrasspin-method");
+  head.path = text_field(message, "eelgrasspin-path");
+  head.caller = CallerName(text_field(message, "eelgrasspin-caller"));
+  head.idempotency_key = text_field(message, "eelgrasspin-idempotency-key");
   auto left = number_header(message.headers, "eelgrasspin-time-left-us");
   if (head.service.empty() || head.method.empty() || head.path.empty() ||
       !left) {
@@ -99,14 +100,14 @@
   }
   head.time_left = std::min(Duration(*left), Duration(config::kMaxDeadline));
   head.body_bytes = message.body.size();
-  head.body_hash = number_of(message, "eelgrasspin-body-hash");
+  head.body_hash = number_field(message, "eelgrasspin-body-hash");
   head.hops =
-      static_cast<std::uint32_t>(number_of(message, "eelgrasspin-hops"));
-  request.from.daemon = DaemonName(text_of(message, "eelgrasspin-daemon"));
-  request.from.server = ServerName(text_of(message, "eelgrasspin-server"));
+      static_cast<std::uint32_t>(number_field(message, "eelgrasspin-hops"));
+  request.from.daemon = DaemonName(text_field(message, "eelgrasspin-daemon"));
+  request.from.server = ServerName(text_field(message, "eelgrasspin-server"));
   request.from.slot = SlotId(
-      static_cast<std::uint32_t>(number_of(message, "eelgrasspin-slot")));
-  request.from.epoch = Epoch(number_of(message, "eelgrasspin-epoch"));
+      static_cast<std::uint32_t>(number_field(message, "eelgrasspin-slot")));
+  request.from.epoch = Epoch(number_field(message, "eelgrasspin-epoch"));
   request.payload = take_payload(std::move(message));
   return request;
 }
@@ -136,27 +137,27 @@
 }
 
 AttemptReply decode_reply(H2Message message) {
-  auto outcome = outcome_from(text_of(message, "eelgrasspin-outcome"));
-  if (!outcome) return unreadable();
+  auto outcome = parse_outcome(text_field(message, "eelgrasspin-outcome"));
+  if (!outcome) return unreadable_reply();
   if (*outcome == Outcome::kAnswered) {
     auto status = number_header(message.headers, "eelgrasspin-status");
     auto bytes = number_header(message.headers, "eelgrasspin-body-bytes");
     if (!status || !bytes || *bytes != message.body.size()) {
-      return unreadable();
+      return unreadable_reply();
     }
     return {AttemptAnswered{static_cast<std::uint16_t>(*status), *bytes},
             take_payload(std::move(message))};
   }
-  auto reason = reason_from(text_of(message, "eelgrasspin-reason"));
-  if (!reason) return unreadable();
+  auto reason = parse_reason(text_field(message, "eelgrasspin-reason"));
+  if (!reason) return unreadable_reply();
   if (*outcome == Outcome::kUnknown) {
     return {AttemptUnknown{*reason, false}, nullptr};
   }
-  return {
-      AttemptNotRun{*reason,
-                    Duration(number_of(message, "eelgrasspin-retry-after-us")),
-                    Epoch(number_of(message, "eelgrasspin-newer-epoch"))},
-      nullptr};
+  return {AttemptNotRun{
+              *reason,
+              Duration(number_field(message, "eelgrasspin-retry-after-us")),
+              Epoch(number_field(message, "eelgrasspin-newer-epoch"))},
+          nullptr};
 }
 
 }  // namespace eelgrasspin::io
--- a/src/io/request_fields.h
+++ b/src/io/request_fields.h
@@ -9,7 +9,8 @@
 #include "eelgrasspin/transport.h"
 #include "io/h2_session.h"
 
-/// Requests and their ends as HTTP/2 fields between daemons.
+/// Encodes forwarded requests and their results as HTTP/2 messages between
+/// daemons.
 namespace eelgrasspin::io {
 
 H2Message encode_request(const OutboundRequest& request,
@@ -20,17 +21,18 @@
   ForwardedFrom from;
   std::shared_ptr<const Payload> payload;
 };
-/// Empty if a field is missing or unreadable.
+/// Empty if a required field is missing or unreadable.
 std::optional<DecodedRequest> decode_request(H2Message message);
 
 H2Message encode_answer(std::uint16_t status, const Payload& payload);
 H2Message encode_refusal(Outcome outcome, Reason reason, Duration retry_after,
                          Epoch newer_epoch);
-/// What an answer or refusal of another daemon means for the attempt.
+/// Decodes an answer or refusal of another daemon. An unreadable message counts
+/// as a truncated answer with unknown outcome.
 AttemptReply decode_reply(H2Message message);
 
-std::optional<Reason> reason_from(std::string_view text);
-std::optional<Outcome> outcome_from(std::string_view text);
+std::optional<Reason> parse_reason(std::string_view text);
+std::optional<Outcome> parse_outcome(std::string_view text);
 
 }  // namespace eelgrasspin::io
 
--- a/src/io/shell.cc
+++ b/src/io/shell.cc
@@ -24,22 +24,23 @@
                             std::chrono::system_clock::now())};
 }
 
-/// Differs between two starts with near certainty; fits a signed 64-bit number.
+/// A random number, so that two starts almost certainly differ; it fits a
+/// signed 64-bit integer.
 Incarnation new_incarnation() {
   std::random_device device;
   std::uint64_t number = (std::uint64_t{device()} << 32) | device();
   return Incarnation((number >> 1) | 1);
 }
 
-std::string run_name(const config::Settings& settings,
-                     Incarnation incarnation) {
+std::string id_prefix(const config::Settings& settings,
+                      Incarnation incarnation) {
   return settings.name.str() + "-" + std::to_string(incarnation.value);
 }
 
-/// A front may meet its predecessor's connections, so it uses at most half, and
-/// keeps one for grants.
-ServerLimits limits_of(const Declarations& declarations,
-                       const ServerDeclaration& server) {
+/// A front uses at most half of the server's connections, because those of its
+/// predecessor may still be open, and reserves one of its half for grants.
+ServerLimits server_limits_of(const Declarations& declarations,
+                              const ServerDeclaration& server) {
   constexpr std::size_t kGrantConnections = 1;
   ServerLimits limits;
   std::size_t half = server.connections / 2;
@@ -64,11 +65,11 @@
       stop_timer_(io),
       store_(std::make_unique<ObjectStoreHttp>(io, settings.store)),
       vm_list_(std::make_unique<VmListHttp>(io, settings.vm_list)),
-      control_(io),
-      calls_(io, run_name(settings, incarnation_)),
+      backend_control_(io),
+      backend_calls_(io, id_prefix(settings, incarnation_)),
       transport_(io, settings.name, transport_handlers()),
       caller_port_(io, caller_handlers()),
-      operator_port_(io, settings.tokens, run_name(settings, incarnation_),
+      operator_port_(io, settings.tokens, id_prefix(settings, incarnation_),
                      operator_handlers()) {
   state_.self.name = settings.name;
   state_.self.zone = settings.zone;
@@ -80,14 +81,14 @@
 
 std::vector<Error> Shell::bind() {
   std::vector<Error> errors;
-  auto note = [&](const char* port, std::optional<Error> failed) {
+  auto add_error = [&](const char* port, std::optional<Error> failed) {
     if (!failed) return;
     failed->message = std::string(port) + ": " + failed->message;
     errors.push_back(std::move(*failed));
   };
-  note("callers", caller_port_.server().listen(settings_.callers));
-  note("peers", transport_.listen(settings_.peers));
-  note("operators", operator_port_.server().listen(settings_.operators));
+  add_error("callers", caller_port_.server().listen(settings_.callers));
+  add_error("peers", transport_.listen(settings_.peers));
+  add_error("operators", operator_port_.server().listen(settings_.operators));
   if (!errors.empty()) close();
   return errors;
 }
@@ -129,67 +130,70 @@
 
 void Shell::post(core::Event event) {
   if (closed_) return;
-  events_.push_back(std::move(event));
-  if (!draining_) drain();
+  pending_events_.push_back(std::move(event));
+  if (!processing_events_) process_events();
 }
 
-/// The core is never entered while it decides or its effects are carried out.
-void Shell::drain() {
-  draining_ = true;
-  while (!events_.empty() && !closed_) {
-    core::Event event = std::move(events_.front());
-    events_.pop_front();
+/// Passes the pending events to the core one by one. The core is never entered
+/// again while it processes an event or its effects are carried out.
+void Shell::process_events() {
+  processing_events_ = true;
+  while (!pending_events_.empty() && !closed_) {
+    core::Event event = std::move(pending_events_.front());
+    pending_events_.pop_front();
     core::Effects effects = core::reduce(state_, event, now());
-    note_declarations();
+    apply_server_limits();
     for (core::Effect& effect : effects) {
       std::visit([this](auto& item) { execute(item); }, effect);
     }
   }
-  draining_ = false;
+  processing_events_ = false;
 }
 
-void Shell::note_declarations() {
-  if (limits_generation_ == state_.cache.generation) return;
-  limits_generation_ = state_.cache.generation;
+void Shell::apply_server_limits() {
+  if (applied_limits_generation_ == state_.cache.generation) return;
+  applied_limits_generation_ = state_.cache.generation;
   const Declarations* declarations = core::declarations(state_.cache);
   if (declarations == nullptr) return;
   for (const auto& [name, server] : declarations->servers) {
-    calls_.set_limits(server.address, limits_of(*declarations, server));
+    backend_calls_.set_limits(server.address,
+                              server_limits_of(*declarations, server));
   }
 }
 
 void Shell::on_caller_request(CallerRequest request,
                               const std::shared_ptr<HttpExchange>& exchange) {
-  std::size_t held = held_.body_bytes() + request.payload->body.size();
-  if (held > config::kMaxHeldBodyBytes) {
+  std::size_t held_bytes =
+      held_requests_.body_bytes() + request.payload->body.size();
+  if (held_bytes > config::kMaxHeldBodyBytes) {
     return exchange->answer(make_caller_response(
         Outcome::kNotRun, Reason::kQueueFull, seconds(1), RequestId()));
   }
   RequestHead head = request.head;
-  RequestId id = held_.add({std::move(request.head),
-                            std::move(request.payload),
-                            exchange,
-                            nullptr,
-                            steady_now(),
-                            {}});
-  exchange->on_abandoned([this, id] { on_abandoned(id); });
+  RequestId id = held_requests_.add({std::move(request.head),
+                                     std::move(request.payload),
+                                     exchange,
+                                     nullptr,
+                                     steady_now(),
+                                     {}});
+  exchange->on_abandoned([this, id] { on_request_abandoned(id); });
   post(core::RequestArrived{id, std::move(head), FromCaller{}});
 }
 
 void Shell::on_forwarded_request(
     const std::shared_ptr<InboundRequest>& inbound) {
-  RequestId id = held_.add({inbound->head(),
-                            inbound->payload(),
-                            nullptr,
-                            inbound,
-                            steady_now(),
-                            {}});
-  inbound->on_abandoned([this, id] { on_abandoned(id); });
+  RequestId id = held_requests_.add({inbound->head(),
+                                     inbound->payload(),
+                                     nullptr,
+                                     inbound,
+                                     steady_now(),
+                                     {}});
+  inbound->on_abandoned([this, id] { on_request_abandoned(id); });
   post(core::RequestArrived{id, inbound->head(), inbound->from()});
 }
 
-void Shell::on_abandoned(RequestId request) {
-  held_.drop(request);
+void Shell::on_request_abandoned(RequestId request) {
+  held_requests_.drop(request);
   post(core::RequestCancelled{request});
 }
 
--- a/src/io/shell.h
+++ b/src/io/shell.h
@@ -26,23 +26,23 @@
 
 namespace eelgrasspin::io {
 
-/// One daemon: feeds the decision core with events and carries out its effects.
-/// Lives on one io_context; not thread safe.
+/// One daemon: passes events to the decision core and carries out its effects.
+/// Runs on one io_context; not thread safe.
 class Shell {
  public:
-  /// `on_exit` is called once when a graceful stop is complete or its time is
-  /// up.
+  /// `on_exit` is called once, when a graceful stop is complete or has timed
+  /// out.
   Shell(boost::asio::io_context& io, const config::Settings& settings,
         std::function<void()> on_exit);
   ~Shell();
   Shell(const Shell&) = delete;
   Shell& operator=(const Shell&) = delete;
 
-  /// Binds every port; with errors none is in use afterwards.
+  /// Binds every port. If there are errors, no port stays in use.
   std::vector<Error> bind();
-  /// Starts the core. Attention: after bind() without errors.
+  /// Starts the core. Call it only after bind() without errors.
   void start();
-  /// Orders a graceful stop.
+  /// Starts a graceful stop.
   void request_stop();
   /// Closes every port and connection at once.
   void close();
@@ -51,15 +51,15 @@
   Endpoint peers() { return transport_.bound_endpoint(); }
   Endpoint operators() { return operator_port_.server().bound_endpoint(); }
   const core::State& state() const { return state_; }
-  /// For tests that make connections go silent.
+  /// For tests that stall connections.
   TransportH2& transport() { return transport_; }
-  BackendCallsHttp& backend_calls() { return calls_; }
+  BackendCallsHttp& backend_calls() { return backend_calls_; }
 
  private:
   void post(core::Event event);
-  void drain();
+  void process_events();
   void tick();
-  void note_declarations();
+  void apply_server_limits();
 
   void execute(core::StoreGet& effect);
   void execute(core::StoreList& effect);
@@ -83,7 +83,7 @@
   void on_caller_request(CallerRequest request,
                          const std::shared_ptr<HttpExchange>& exchange);
   void on_forwarded_request(const std::shared_ptr<InboundRequest>& inbound);
-  void on_abandoned(RequestId request);
+  void on_request_abandoned(RequestId request);
   void exit_when_flushed(int checks_left);
   void exit();
 
@@ -98,22 +98,22 @@
   std::function<void()> on_exit_;
   Incarnation incarnation_;
   core::State state_;
-  std::deque<core::Event> events_;
-  bool draining_ = false;
+  std::deque<core::Event> pending_events_;
+  bool processing_events_ = false;
   bool closed_ = false;
   bool exiting_ = false;
   boost::asio::steady_timer tick_timer_;
   boost::asio::steady_timer stop_timer_;
-  std::uint64_t limits_generation_ = 0;
-  HeldRequests held_;
+  std::uint64_t applied_limits_generation_ = 0;
+  HeldRequests held_requests_;
   Histogram answered_latency_;
   Histogram refused_latency_;
-  /// Callbacks that come after the shell's end find this expired.
+  /// Callbacks that run after the destructor find this expired.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unique_ptr<ObjectStore> store_;
   std::unique_ptr<VmList> vm_list_;
-  BackendControlHttp control_;
-  BackendCallsHttp calls_;
+  BackendControlHttp backend_control_;
+  BackendCallsHttp backend_calls_;
   TransportH2 transport_;
   CallerPort caller_port_;
   OperatorPort operator_port_;
--- a/src/io/shell_effects.cc
+++ b/src/io/shell_effects.cc
@@ -6,13 +6,13 @@
 #include "io/metrics.h"
 #include "io/shell.h"
 
-/// How each effect of the decision core is carried out.
+/// Carries out each effect of the decision core.
 namespace eelgrasspin::io {
 namespace {
 
-constexpr int kFlushChecks = 200;
+constexpr int kMaxFlushChecks = 200;
 
-OutboundRequest outbound(const HeldRequest& held) {
+OutboundRequest to_outbound_request(const HeldRequest& held) {
   OutboundRequest request;
   request.head = held.head;
   request.payload = held.payload;
@@ -34,7 +34,7 @@
           attempt](AttemptReply reply) {
     if (alive.expired()) return;
     const auto* answered = std::get_if<AttemptAnswered>(&reply.result);
-    HeldRequest* held = held_.find(request);
+    HeldRequest* held = held_requests_.find(request);
     if (answered != nullptr && held != nullptr) {
       held->answers[attempt] = {answered->status, reply.payload};
     }
@@ -73,7 +73,7 @@
 }
 
 void Shell::execute(core::SendGrant& effect) {
-  control_.order(
+  backend_control_.order(
       effect.server, effect.address, effect.order,
       [this, alive = std::weak_ptr(alive_), server = effect.server,
        epoch = effect.order.front_epoch,
@@ -84,12 +84,12 @@
 }
 
 void Shell::execute(core::SendToServer& effect) {
-  HeldRequest* held = held_.find(effect.request);
+  HeldRequest* held = held_requests_.find(effect.request);
   if (held == nullptr) {
     return post(core::AttemptEnded{effect.request, effect.attempt,
                                    AttemptNotRun{Reason::kCancelled, {}, {}}});
   }
-  OutboundRequest request = outbound(*held);
+  OutboundRequest request = to_outbound_request(*held);
   request.server = effect.server;
   request.slot = effect.slot;
   request.key = effect.key;
@@ -97,17 +97,17 @@
   request.front_epoch = effect.front_epoch;
   request.time_left = effect.time_left;
   request.repeatable = effect.repeatable;
-  calls_.run(effect.attempt, effect.address, request,
-             attempt_callback(effect.request, effect.attempt));
+  backend_calls_.run(effect.attempt, effect.address, request,
+                     attempt_callback(effect.request, effect.attempt));
 }
 
 void Shell::execute(core::SendToFront& effect) {
-  HeldRequest* held = held_.find(effect.request);
+  HeldRequest* held = held_requests_.find(effect.request);
   if (held == nullptr) {
     return post(core::AttemptEnded{effect.request, effect.attempt,
                                    AttemptNotRun{Reason::kCancelled, {}, {}}});
   }
-  OutboundRequest request = outbound(*held);
+  OutboundRequest request = to_outbound_request(*held);
   ++request.head.hops;
   request.server = effect.server;
   request.slot = effect.slot;
@@ -120,28 +120,28 @@
 }
 
 void Shell::execute(core::CancelAttempt& effect) {
-  calls_.cancel(effect.attempt);
+  backend_calls_.cancel(effect.attempt);
   transport_.cancel(effect.attempt);
 }
 
 void Shell::execute(core::RelayAnswer& effect) {
-  HeldRequest* held = held_.find(effect.request);
+  HeldRequest* held = held_requests_.find(effect.request);
   if (held == nullptr) return;
   HeldAnswer answer = held->answers[effect.attempt];
   answered_latency_.record(steady_now() - held->arrived);
   if (!answer.payload) {
-    return held_.refuse(effect.request, Outcome::kUnknown,
-                        Reason::kConnectionLost, Duration(0), Epoch());
+    return held_requests_.refuse(effect.request, Outcome::kUnknown,
+                                 Reason::kConnectionLost, Duration(0), Epoch());
   }
-  held_.answer(effect.request, answer.status, answer.payload);
+  held_requests_.answer(effect.request, answer.status, answer.payload);
 }
 
 void Shell::execute(core::RefuseRequest& effect) {
-  if (HeldRequest* held = held_.find(effect.request)) {
+  if (HeldRequest* held = held_requests_.find(effect.request)) {
     refused_latency_.record(steady_now() - held->arrived);
   }
-  held_.refuse(effect.request, effect.outcome, effect.reason,
-               effect.retry_after, effect.newer_epoch);
+  held_requests_.refuse(effect.request, effect.outcome, effect.reason,
+                        effect.retry_after, effect.newer_epoch);
 }
 
 void Shell::execute(core::ReplyOperator& effect) {
@@ -152,9 +152,10 @@
 
 void Shell::execute(core::ExitProcess& /*effect*/) {
   if (std::exchange(exiting_, true)) return;
-  // Streams of other daemons that come now are provably not run.
+  // New streams of other daemons are refused, which proves to them that their
+  // requests are not run.
   transport_.shut_down();
-  exit_when_flushed(kFlushChecks);
+  exit_when_flushed(kMaxFlushChecks);
 }
 
 std::string Shell::metrics() const {
@@ -163,9 +164,10 @@
     return Gauge{name, help, static_cast<double>(value)};
   };
   std::vector<Gauge> gauges = {
-      gauge("held_requests", "Requests that have not ended", held_.size()),
+      gauge("held_requests", "Requests that have not ended",
+            held_requests_.size()),
       gauge("held_body_bytes", "Bodies of requests that have not ended",
-            held_.body_bytes()),
+            held_requests_.body_bytes()),
       gauge("cached_values", "Store values in the cache",
             state_.cache.entries.size()),
       gauge("stopping", "1 while the daemon stops", state_.stopping ? 1 : 0)};
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -6,22 +6,22 @@
 namespace eelgrasspin::io {
 namespace {
 
-/// Wait of a watch while the store does not answer, so that its return is
-/// noticed at once, and of one that only brings this daemon up to date.
+/// Wait of a watch after a failure, so that the store's return is detected at
+/// once, and of a watch that only brings this daemon up to date.
 constexpr Duration kProbeWait = milliseconds(50);
-/// Pause between a change and the next watch: changes that come together cost
-/// one call, and a leaving server is still known of in good time.
+/// Pause between a change and the next watch: changes in quick succession cost
+/// one call, and the leave of a server is still received in good time.
 constexpr Duration kWatchPause = milliseconds(200);
-/// Pause after a failed call, doubled with each failure in a row ...
-constexpr Duration kFirstPause = milliseconds(100);
-/// ... up to this: entries that lapsed in an outage are back within two
-/// seconds of its end.
-constexpr Duration kLongestPause = milliseconds(400);
-/// Pause before a daemon that could not announce itself tries again.
-constexpr Duration kRegistrationPause = milliseconds(700);
+/// Delay after a failed call, doubled with each consecutive failure ...
+constexpr Duration kFirstRetryDelay = milliseconds(100);
+/// ... up to this: entries that lapsed during an outage are registered again
+/// within two seconds of its end.
+constexpr Duration kMaxRetryDelay = milliseconds(400);
+/// Delay before a daemon that could not register tries again.
+constexpr Duration kRegistrationRetryDelay = milliseconds(700);
 
-/// Daemons of one start have registered by then.
-constexpr Duration kDaemonRelist = milliseconds(1500);
+/// Daemons that were started together have registered by then.
+constexpr Duration kDaemonRelistDelay = milliseconds(1500);
 
 constexpr std::string_view kDaemonPrefix = "daemon.";
 constexpr std::string_view kMapPrefix = "owners.";
@@ -33,7 +33,7 @@
   return std::string(kMapPrefix) + service.str();
 }
 
-std::optional<fleet::StoreView> view_of(ObjectKind kind) {
+std::optional<fleet::StoreView> store_view_of(ObjectKind kind) {
   switch (kind) {
     case ObjectKind::kConfiguration:
       return fleet::StoreView::kConfiguration;
@@ -45,12 +45,12 @@
   return std::nullopt;
 }
 
-Duration pause_after(std::uint32_t failures) {
-  Duration pause = kFirstPause;
-  for (std::uint32_t i = 1; i < failures && pause < kLongestPause; ++i) {
-    pause *= 2;
+Duration retry_delay(std::uint32_t failures) {
+  Duration delay = kFirstRetryDelay;
+  for (std::uint32_t i = 1; i < failures && delay < kMaxRetryDelay; ++i) {
+    delay *= 2;
   }
-  return std::min(pause, kLongestPause);
+  return std::min(delay, kMaxRetryDelay);
 }
 
 void log_unreadable(const StoredObject& object, const std::string& why) {
@@ -69,62 +69,63 @@
       store_(store),
       settings_(settings),
       sink_(std::move(sink)),
-      registration_(io),
-      relist_(io) {}
+      registration_timer_(io),
+      relist_timer_(io) {}
 
-StoreFeed::Kind& StoreFeed::kind(ObjectKind name) {
-  auto& slot = kinds_[name];
-  if (!slot) slot = std::make_unique<Kind>(io_);
-  return *slot;
+StoreFeed::KindState& StoreFeed::state_of(ObjectKind kind) {
+  auto& state = states_[kind];
+  if (!state) state = std::make_unique<KindState>(io_);
+  return *state;
 }
 
 void StoreFeed::start() {
-  for (ObjectKind name : {ObjectKind::kConfiguration, ObjectKind::kServers,
+  for (ObjectKind kind : {ObjectKind::kConfiguration, ObjectKind::kServers,
                           ObjectKind::kRecords}) {
-    list(name, {});
+    list(kind, {});
   }
   register_daemon();
-  list_daemons_again();
+  schedule_relist();
 }
 
-void StoreFeed::list_daemons_again() {
-  relist_.expires_after(kDaemonRelist);
-  relist_.async_wait([this](const boost::system::error_code& failed) {
+void StoreFeed::schedule_relist() {
+  relist_timer_.expires_after(kDaemonRelistDelay);
+  relist_timer_.async_wait([this](const boost::system::error_code& failed) {
     if (!failed) list(ObjectKind::kRecords, {});
   });
 }
 
-void StoreFeed::list(ObjectKind name, const std::string& after) {
-  if (after.empty()) kind(name).listed.clear();
-  kind(name).busy = true;
-  store_.list(name, after, [this, name](PageResult result) {
-    on_page(name, std::move(result));
+void StoreFeed::list(ObjectKind kind, const std::string& after) {
+  if (after.empty()) state_of(kind).listed.clear();
+  state_of(kind).busy = true;
+  store_.list(kind, after, [this, kind](PageResult result) {
+    on_page(kind, std::move(result));
   });
 }
 
-void StoreFeed::on_page(ObjectKind name, PageResult result) {
+void StoreFeed::on_page(ObjectKind kind, PageResult result) {
   if (const auto* failure = std::get_if<StoreFailure>(&result)) {
-    return retry(name, *failure, true);
+    return retry(kind, *failure, true);
   }
   sink_(fleet::StoreAnswered());
   auto& page = std::get<ObjectPage>(result);
-  Kind& state = kind(name);
-  // Changes between two pages are seen by watching from the first one.
+  KindState& state = state_of(kind);
+  // The watch starts at the revision of the first page, so it also returns
+  // changes made between two pages.
   if (state.listed.empty()) state.as_of = page.as_of;
   std::string last = page.objects.empty() ? "" : page.objects.back().name;
   for (StoredObject& object : page.objects) {
     state.listed.push_back(std::move(object));
   }
-  if (page.has_more && !last.empty()) return list(name, last);
-  finish_list(name);
+  if (page.has_more && !last.empty()) return list(kind, last);
+  finish_list(kind);
 }
 
-void StoreFeed::finish_list(ObjectKind name) {
-  Kind& state = kind(name);
+void StoreFeed::finish_list(ObjectKind kind) {
+  KindState& state = state_of(kind);
   state.failures = 0;
   std::vector<StoredObject> listed = std::move(state.listed);
   state.listed.clear();
-  if (name == ObjectKind::kServers) {
+  if (kind == ObjectKind::kServers) {
     fleet::ServersListed servers;
     servers.as_of = state.as_of;
     for (const StoredObject& object : listed) {
@@ -138,95 +139,96 @@
   } else {
     for (const StoredObject& object : listed) emit(object);
   }
-  // Changes of this system's own records are told by the daemons themselves.
-  auto view = view_of(name);
+  // This system's own records are not watched: the daemons send each other the
+  // changes.
+  auto view = store_view_of(kind);
   if (!view) {
     state.busy = false;
     return;
   }
   sink_(fleet::ViewListed{*view, state.as_of});
-  go_on(name);
+  continue_watching(kind);
 }
 
-void StoreFeed::go_on(ObjectKind name) {
-  Kind& state = kind(name);
+void StoreFeed::continue_watching(ObjectKind kind) {
+  KindState& state = state_of(kind);
   state.busy = watching_;
   if (!watching_) return;
-  watch(name, state.failures > 0 ? kProbeWait : watch_wait_);
+  watch(kind, state.failures > 0 ? kProbeWait : watch_wait_);
 }
 
 void StoreFeed::set_watch(const fleet::WatchStore& watch) {
   watching_ = watch.on;
   watch_wait_ = watch.wait;
   if (!watching_) return;
-  Version& configuration = kind(ObjectKind::kConfiguration).as_of;
+  Version& configuration = state_of(ObjectKind::kConfiguration).as_of;
   configuration = std::max(configuration, watch.configuration_as_of);
-  Version& servers = kind(ObjectKind::kServers).as_of;
+  Version& servers = state_of(ObjectKind::kServers).as_of;
   servers = std::max(servers, watch.servers_as_of);
-  for (ObjectKind name : {ObjectKind::kConfiguration, ObjectKind::kServers}) {
-    if (!kind(name).busy) go_on(name);
+  for (ObjectKind kind : {ObjectKind::kConfiguration, ObjectKind::kServers}) {
+    if (!state_of(kind).busy) continue_watching(kind);
   }
 }
 
 void StoreFeed::catch_up(const fleet::CatchUp& request) {
-  ObjectKind name = request.view == fleet::StoreView::kConfiguration
+  ObjectKind kind = request.view == fleet::StoreView::kConfiguration
                         ? ObjectKind::kConfiguration
                         : ObjectKind::kServers;
-  if (kind(name).busy) return;
-  kind(name).as_of = std::max(kind(name).as_of, request.as_of);
-  watch(name, kProbeWait);
+  if (state_of(kind).busy) return;
+  state_of(kind).as_of = std::max(state_of(kind).as_of, request.as_of);
+  watch(kind, kProbeWait);
 }
 
-void StoreFeed::watch(ObjectKind name, Duration wait) {
-  Kind& state = kind(name);
+void StoreFeed::watch(ObjectKind kind, Duration wait) {
+  KindState& state = state_of(kind);
   state.busy = true;
-  store_.watch(name, state.as_of, wait, [this, name](PageResult result) {
-    on_events(name, std::move(result));
+  store_.watch(kind, state.as_of, wait, [this, kind](PageResult result) {
+    on_changes(kind, std::move(result));
   });
 }
 
-void StoreFeed::on_events(ObjectKind name, PageResult result) {
+void StoreFeed::on_changes(ObjectKind kind, PageResult result) {
   if (const auto* failure = std::get_if<StoreFailure>(&result)) {
-    return retry(name, *failure,
-                 failure->fault == StoreFailureKind::kHistoryGone);
+    return retry(kind, *failure,
+                 failure->kind == StoreFailureKind::kHistoryGone);
   }
   sink_(fleet::StoreAnswered());
   const auto& page = std::get<ObjectPage>(result);
-  Kind& state = kind(name);
+  KindState& state = state_of(kind);
   state.failures = 0;
   state.as_of = std::max(state.as_of, page.as_of);
-  sink_(fleet::StoreChanged{update_of(name, page)});
-  if (page.objects.empty()) return go_on(name);
+  sink_(fleet::StoreChanged{store_update_of(kind, page)});
+  if (page.objects.empty()) return continue_watching(kind);
   state.timer.expires_after(kWatchPause);
-  state.timer.async_wait([this, name](const boost::system::error_code& failed) {
-    if (!failed) go_on(name);
+  state.timer.async_wait([this, kind](const boost::system::error_code& failed) {
+    if (!failed) continue_watching(kind);
   });
 }
 
-void StoreFeed::retry(ObjectKind name, const StoreFailure& failure,
+void StoreFeed::retry(ObjectKind kind, const StoreFailure& failure,
                       bool relist) {
-  Kind& state = kind(name);
+  KindState& state = state_of(kind);
   ++state.failures;
-  if (failure.fault == StoreFailureKind::kHistoryGone) {
+  if (failure.kind == StoreFailureKind::kHistoryGone) {
     log_line(LogLevel::kWarning,
              {{"event", "store_history_gone"},
               {"as_of", std::to_string(state.as_of.value)}});
   } else {
     sink_(fleet::StoreFailed{failure.why});
   }
-  state.timer.expires_after(pause_after(state.failures));
+  state.timer.expires_after(retry_delay(state.failures));
   state.timer.async_wait(
-      [this, name, relist](const boost::system::error_code& failed) {
+      [this, kind, relist](const boost::system::error_code& failed) {
         if (failed) return;
-        if (relist) return list(name, {});
-        go_on(name);
+        if (relist) return list(kind, {});
+        continue_watching(kind);
       });
 }
 
-fleet::StoreUpdate StoreFeed::update_of(ObjectKind name,
-                                        const ObjectPage& page) {
+fleet::StoreUpdate StoreFeed::store_update_of(ObjectKind kind,
+                                              const ObjectPage& page) {
   fleet::StoreUpdate update;
-  update.view = name == ObjectKind::kConfiguration
+  update.view = kind == ObjectKind::kConfiguration
                     ? fleet::StoreView::kConfiguration
                     : fleet::StoreView::kServers;
   update.as_of = page.as_of;
@@ -237,7 +239,7 @@
                    std::get_if<fleet::Configuration>(&object.value)) {
       update.configuration = std::make_shared<fleet::Configuration>(*read);
       update.configuration_revision = object.revision;
-    } else if (object.deleted && name == ObjectKind::kServers) {
+    } else if (object.deleted && kind == ObjectKind::kServers) {
       update.servers.emplace_back(ServerName(object.name));
     } else if (const auto* server = std::get_if<fleet::Server>(&object.value)) {
       update.servers.emplace_back(*server);
@@ -292,7 +294,7 @@
   std::string name = map_record_name(write.map.service);
   std::string text = codec::encode_owner_map(write.map);
   auto done = [this, service = write.map.service](const ChangeResult& result) {
-    emit_change(service, result);
+    emit_write_result(service, result);
   };
   if (write.expected.value == 0) {
     store_.create_record(name, text, done);
@@ -301,8 +303,8 @@
   }
 }
 
-void StoreFeed::emit_change(const ServiceName& service,
-                            const ChangeResult& result) {
+void StoreFeed::emit_write_result(const ServiceName& service,
+                                  const ChangeResult& result) {
   using fleet::WriteOutcome;
   if (const auto* revision = std::get_if<Version>(&result)) {
     sink_(fleet::StoreAnswered());
@@ -311,10 +313,10 @@
   }
   const auto& failure = std::get<StoreFailure>(result);
   WriteOutcome outcome = WriteOutcome::kUnknown;
-  if (failure.fault == StoreFailureKind::kConflict)
+  if (failure.kind == StoreFailureKind::kConflict)
     outcome = WriteOutcome::kConflict;
-  if (failure.fault == StoreFailureKind::kRefused ||
-      failure.fault == StoreFailureKind::kMissing) {
+  if (failure.kind == StoreFailureKind::kRefused ||
+      failure.kind == StoreFailureKind::kMissing) {
     outcome = WriteOutcome::kNotDone;
   }
   sink_(fleet::MapWriteEnded{service, outcome, Version()});
@@ -329,7 +331,7 @@
                   return;
                 }
                 const auto& failure = std::get<StoreFailure>(result);
-                if (failure.fault == StoreFailureKind::kMissing) {
+                if (failure.kind == StoreFailureKind::kMissing) {
                   sink_(fleet::StoreAnswered());
                   return sink_(fleet::MapMissing{service});
                 }
@@ -339,44 +341,45 @@
 
 void StoreFeed::register_daemon() {
   std::string name = daemon_record_name(settings_.self.name);
-  auto again = [this] {
-    registration_.expires_after(kRegistrationPause);
-    registration_.async_wait([this](const boost::system::error_code& failed) {
-      if (!failed) register_daemon();
-    });
+  auto retry_later = [this] {
+    registration_timer_.expires_after(kRegistrationRetryDelay);
+    registration_timer_.async_wait(
+        [this](const boost::system::error_code& failed) {
+          if (!failed) register_daemon();
+        });
   };
   store_.create_record(
       name, codec::encode_daemon(settings_.self),
-      [this, name, again](const ChangeResult& result) {
+      [this, name, retry_later](const ChangeResult& result) {
         const auto* failure = std::get_if<StoreFailure>(&result);
         if (failure == nullptr) return;
-        if (failure->fault != StoreFailureKind::kConflict) return again();
+        if (failure->kind != StoreFailureKind::kConflict) return retry_later();
         store_.read(ObjectKind::kRecords, name,
-                    [this, again](const PageResult& read) {
+                    [this, retry_later](const PageResult& read) {
                       const auto* page = std::get_if<ObjectPage>(&read);
                       if (page == nullptr || page->objects.empty()) {
-                        return again();
+                        return retry_later();
                       }
                       renew_registration(page->objects.front());
                     });
       });
 }
 
-/// The record of an earlier start of this daemon, or the lost answer to a
-/// write of this one.
+/// `current` is the record of an earlier incarnation of this daemon, or that of
+/// this one if the answer to its write was lost.
 void StoreFeed::renew_registration(const StoredObject& current) {
   std::string text = codec::encode_daemon(settings_.self);
   const auto* record = std::get_if<RecordText>(&current.value);
   if (record != nullptr && record->text == text) return;
-  store_.replace_record(current.name, current.revision, text,
-                        [this](const ChangeResult& result) {
-                          if (std::holds_alternative<Version>(result)) return;
-                          registration_.expires_after(kRegistrationPause);
-                          registration_.async_wait(
-                              [this](const boost::system::error_code& failed) {
-                                if (!failed) register_daemon();
-                              });
-                        });
+  store_.replace_record(
+      current.name, current.revision, text, [this](const ChangeResult& result) {
+        if (std::holds_alternative<Version>(result)) return;
+        registration_timer_.expires_after(kRegistrationRetryDelay);
+        registration_timer_.async_wait(
+            [this](const boost::system::error_code& failed) {
+              if (!failed) register_daemon();
+            });
+      });
 }
 
 }  // namespace eelgrasspin::io
--- a/src/io/store_feed.h
+++ b/src/io/store_feed.h
@@ -14,9 +14,9 @@
 
 namespace eelgrasspin::io {
 
-/// Keeps this daemon's view of the store up to date: lists each kind once, then
-/// watches it while told to, and lists it again when the history is gone.
-/// Writes this system's own records.
+/// Keeps this daemon's view of the store up to date: lists each kind of objects
+/// once, then watches it while watching is enabled, and lists it again if the
+/// store no longer has the history. Writes this system's own records.
 class StoreFeed {
  public:
   using Sink = std::function<void(const fleet::Event&)>;
@@ -25,38 +25,41 @@
             const fleet::Settings& settings, Sink sink);
 
   void start();
-  /// Goes on or stops watching, from where this daemon's copies have got to.
+  /// Enables or disables watching. It continues from the revisions up to which
+  /// this daemon's copies are complete.
   void set_watch(const fleet::WatchStore& watch);
-  /// Asks once for the changes of one part.
+  /// Reads the changes of one kind once.
   void catch_up(const fleet::CatchUp& request);
   void write_map(const fleet::WriteMap& write);
   void read_map(const ServiceName& service);
 
  private:
-  struct Kind {
-    explicit Kind(boost::asio::io_context& io) : timer(io) {}
+  struct KindState {
+    explicit KindState(boost::asio::io_context& io) : timer(io) {}
     boost::asio::steady_timer timer;
     Version as_of;
     std::vector<StoredObject> listed;
     std::uint32_t failures = 0;
-    bool busy = false;  ///< A call or a pause is under way.
+    bool busy = false;  ///< A call or the pause before one is in progress.
   };
 
-  Kind& kind(ObjectKind name);
-  void list(ObjectKind name, const std::string& after);
-  void on_page(ObjectKind name, PageResult result);
-  void finish_list(ObjectKind name);
-  /// Daemons that start together register while others list already.
-  void list_daemons_again();
-  void watch(ObjectKind name, Duration wait);
-  /// Watches again unless another daemon does so for this one.
-  void go_on(ObjectKind name);
-  void on_events(ObjectKind name, PageResult result);
-  void retry(ObjectKind name, const StoreFailure& failure, bool relist);
-  fleet::StoreUpdate update_of(ObjectKind name, const ObjectPage& page);
+  KindState& state_of(ObjectKind kind);
+  void list(ObjectKind kind, const std::string& after);
+  void on_page(ObjectKind kind, PageResult result);
+  void finish_list(ObjectKind kind);
+  /// Lists the records once more: daemons that start together may register
+  /// after this one has listed.
+  void schedule_relist();
+  void watch(ObjectKind kind, Duration wait);
+  /// Watches again, unless another daemon watches on behalf of this one.
+  void continue_watching(ObjectKind kind);
+  void on_changes(ObjectKind kind, PageResult result);
+  void retry(ObjectKind kind, const StoreFailure& failure, bool relist);
+  fleet::StoreUpdate store_update_of(ObjectKind kind, const ObjectPage& page);
   void emit(const StoredObject& object);
   void emit_record(const StoredObject& object, const RecordText& record);
-  void emit_change(const ServiceName& service, const ChangeResult& result);
+  void emit_write_result(const ServiceName& service,
+                         const ChangeResult& result);
   void register_daemon();
   void renew_registration(const StoredObject& current);
 
@@ -64,9 +67,9 @@
   FleetStore& store_;
   fleet::Settings settings_;
   Sink sink_;
-  std::map<ObjectKind, std::unique_ptr<Kind>> kinds_;
-  boost::asio::steady_timer registration_;
-  boost::asio::steady_timer relist_;
+  std::map<ObjectKind, std::unique_ptr<KindState>> states_;
+  boost::asio::steady_timer registration_timer_;
+  boost::asio::steady_timer relist_timer_;
   bool watching_ = true;
   Duration watch_wait_ = fleet::config::kWatchWait;
 };
