--- a/src/io/transport_h2.cc
+++ b/src/io/transport_h2.cc
@@ -20,15 +20,15 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedMessages = 4096;
-/// Time for a refusal of the other daemon to arrive after the deadline.
-constexpr Duration kReplySlack = milliseconds(50);
-constexpr Duration kFreshnessLimit =
-    config::kPingInterval + config::kPingTimeout;
+/// Time after the deadline for a refusal of the other daemon to arrive.
+constexpr Duration kReplyMargin = milliseconds(50);
+/// A connection without input for this long may be dead.
+constexpr Duration kStaleAfter = config::kPingInterval + config::kPingTimeout;
 
-class Inbound : public InboundRequest {
+class H2InboundRequest : public InboundRequest {
  public:
-  Inbound(std::weak_ptr<H2Session> session, H2Session::StreamId stream,
-          DecodedRequest request)
+  H2InboundRequest(std::weak_ptr<H2Session> session, H2Session::StreamId stream,
+                   DecodedRequest request)
       : session_(std::move(session)),
         stream_(stream),
         request_(std::move(request)) {}
@@ -45,19 +45,19 @@
               Epoch newer_epoch) override {
     respond(encode_refusal(outcome, reason, retry_after, newer_epoch));
   }
-  void on_abandoned(std::function<void()> gone) override {
-    gone_ = std::move(gone);
+  void on_abandoned(std::function<void()> callback) override {
+    on_abandoned_ = std::move(callback);
   }
 
-  void gone() {
-    std::function<void()> call = std::move(gone_);
-    gone_ = nullptr;
-    if (call) call();
+  void notify_abandoned() {
+    std::function<void()> callback = std::move(on_abandoned_);
+    on_abandoned_ = nullptr;
+    if (callback) callback();
   }
 
  private:
   void respond(H2Message message) {
-    gone_ = nullptr;
+    on_abandoned_ = nullptr;
     if (auto session = session_.lock()) {
       session->respond(stream_, std::move(message));
     }
@@ -66,21 +66,21 @@
   std::weak_ptr<H2Session> session_;
   H2Session::StreamId stream_;
   DecodedRequest request_;
-  std::function<void()> gone_;
+  std::function<void()> on_abandoned_;
 };
 
-/// A connection that another daemon opened, and its open requests.
-struct ServerLink {
+/// A connection that another daemon opened, with its open requests.
+struct IncomingConnection {
   std::shared_ptr<H2Session> session;
-  std::map<H2Session::StreamId, std::weak_ptr<Inbound>> open;
+  std::map<H2Session::StreamId, std::weak_ptr<H2InboundRequest>> open_requests;
 };
 
-struct Forwarded {
-  explicit Forwarded(asio::io_context& io) : limit(io) {}
+struct ForwardedRequest {
+  explicit ForwardedRequest(asio::io_context& io) : timer(io) {}
 
   std::weak_ptr<H2Session> session;
   H2Session::StreamId stream = 0;
-  asio::steady_timer limit;
+  asio::steady_timer timer;
   Transport::AttemptCallback done;
 };
 
@@ -96,25 +96,26 @@
   std::optional<Error> listen(const Endpoint& endpoint);
   void accept();
   void serve(tcp::socket socket);
-  void on_request(const std::shared_ptr<ServerLink>& link,
+  void on_request(const std::shared_ptr<IncomingConnection>& connection,
                   H2Session::StreamId stream, H2Message message);
-  void on_forwarded(const std::shared_ptr<ServerLink>& link,
-                    H2Session::StreamId stream, H2Message message);
+  void on_forwarded_request(
+      const std::shared_ptr<IncomingConnection>& connection,
+      H2Session::StreamId stream, H2Message message);
 
-  std::shared_ptr<H2Session> session_to(const Endpoint& to, bool proven);
+  std::shared_ptr<H2Session> session_to(const Endpoint& to, bool must_be_fresh);
   void forward(AttemptId attempt, const Endpoint& to,
                const OutboundRequest& request, AttemptCallback done);
-  void on_reply(AttemptId attempt, H2End end, H2Message message);
-  void on_limit(AttemptId attempt);
+  void on_stream_end(AttemptId attempt, H2StreamEnd end, H2Message message);
+  void on_timeout(AttemptId attempt);
   void finish(AttemptId attempt, AttemptReply reply);
 
   asio::io_context& io;
   DaemonName self;
   Handlers handlers;
   tcp::acceptor acceptor;
-  std::set<std::shared_ptr<ServerLink>> server_links;
+  std::set<std::shared_ptr<IncomingConnection>> incoming_connections;
   std::map<Endpoint, std::shared_ptr<H2Session>> sessions;
-  std::map<AttemptId, std::shared_ptr<Forwarded>> forwarded;
+  std::map<AttemptId, std::shared_ptr<ForwardedRequest>> forwarded_requests;
   bool closed = false;
 };
 
@@ -122,7 +123,7 @@
   auto address = parse_endpoint(endpoint);
   if (!address) {
     return Error{ErrorCode::kInvalid,
-                 "\"" + endpoint.str() + "\" is not an IP number with a port"};
+                 "\"" + endpoint.str() + "\" is not an IP address with a port"};
   }
   error_code failed;
   acceptor.open(address->protocol(), failed);
@@ -147,71 +148,74 @@
 }
 
 void TransportH2::Impl::serve(tcp::socket socket) {
-  auto link = std::make_shared<ServerLink>();
-  std::weak_ptr<Impl> weak = weak_from_this();
-  H2Session::Handlers on;
-  on.on_request = [weak, link](H2Session::StreamId stream, H2Message message) {
-    if (auto impl = weak.lock()) {
-      impl->on_request(link, stream, std::move(message));
-    }
-  };
-  on.on_cancelled = [link](H2Session::StreamId stream) {
-    auto found = link->open.find(stream);
-    if (found == link->open.end()) return;
+  auto connection = std::make_shared<IncomingConnection>();
+  std::weak_ptr<Impl> weak_impl = weak_from_this();
+  H2Session::Handlers session_handlers;
+  session_handlers.on_request =
+      [weak_impl, connection](H2Session::StreamId stream, H2Message message) {
+        if (auto impl = weak_impl.lock()) {
+          impl->on_request(connection, stream, std::move(message));
+        }
+      };
+  session_handlers.on_cancelled = [connection](H2Session::StreamId stream) {
+    auto found = connection->open_requests.find(stream);
+    if (found == connection->open_requests.end()) return;
     auto inbound = found->second.lock();
-    link->open.erase(found);
-    if (inbound) inbound->gone();
+    connection->open_requests.erase(found);
+    if (inbound) inbound->notify_abandoned();
   };
-  on.on_closed = [weak, link] {
-    auto keep = link->session;
-    link->session.reset();
-    if (auto impl = weak.lock()) impl->server_links.erase(link);
+  session_handlers.on_closed = [weak_impl, connection] {
+    auto keep = connection->session;
+    connection->session.reset();
+    if (auto impl = weak_impl.lock())
+      impl->incoming_connections.erase(connection);
   };
-  server_links.insert(link);
-  link->session = accept_h2(std::move(socket), std::move(on));
+  incoming_connections.insert(connection);
+  connection->session =
+      accept_h2(std::move(socket), std::move(session_handlers));
 }
 
-void TransportH2::Impl::on_request(const std::shared_ptr<ServerLink>& link,
-                                   H2Session::StreamId stream,
-                                   H2Message message) {
+void TransportH2::Impl::on_request(
+    const std::shared_ptr<IncomingConnection>& connection,
+    H2Session::StreamId stream, H2Message message) {
   const std::string* path = find_header(message.headers, ":path");
   if (path != nullptr && *path == "/request") {
-    return on_forwarded(link, stream, std::move(message));
+    return on_forwarded_request(connection, stream, std::move(message));
   }
   if (path == nullptr || *path != "/message") {
-    return link->session->respond(stream, {{{":status", "404"}}, {}});
+    return connection->session->respond(stream, {{{":status", "404"}}, {}});
   }
   Result<PeerMessage> decoded = codec::decode_message(message.body);
-  link->session->respond(stream,
-                         {{{":status", ok(decoded) ? "204" : "400"}}, {}});
+  connection->session->respond(
+      stream, {{{":status", ok(decoded) ? "204" : "400"}}, {}});
   if (ok(decoded)) handlers.on_message(std::move(value(decoded)));
 }
 
-void TransportH2::Impl::on_forwarded(const std::shared_ptr<ServerLink>& link,
-                                     H2Session::StreamId stream,
-                                     H2Message message) {
+void TransportH2::Impl::on_forwarded_request(
+    const std::shared_ptr<IncomingConnection>& connection,
+    H2Session::StreamId stream, H2Message message) {
   auto decoded = decode_request(std::move(message));
   if (!decoded) {
-    return link->session->respond(
+    return connection->session->respond(
         stream, encode_refusal(Outcome::kNotRun, Reason::kBadRequest,
                                Duration(0), Epoch()));
   }
-  auto inbound =
-      std::make_shared<Inbound>(link->session, stream, std::move(*decoded));
-  std::erase_if(link->open,
+  auto inbound = std::make_shared<H2InboundRequest>(connection->session, stream,
+                                                    std::move(*decoded));
+  std::erase_if(connection->open_requests,
                 [](const auto& item) { return item.second.expired(); });
-  link->open[stream] = inbound;
+  connection->open_requests[stream] = inbound;
   handlers.on_request(inbound);
 }
 
-/// The kept connection, or a new one if there is none, it is not usable, or it
-/// has to be proven alive and is not.
+/// The existing session if it accepts streams, else a new one. With
+/// `must_be_fresh`, a connected session without recent input is replaced too.
 std::shared_ptr<H2Session> TransportH2::Impl::session_to(const Endpoint& to,
-                                                         bool proven) {
+                                                         bool must_be_fresh) {
   std::shared_ptr<H2Session>& kept = sessions[to];
   bool stale = kept && kept->connected() &&
-               steady_now() - kept->last_heard() > kFreshnessLimit;
-  if (kept && kept->usable() && !(proven && stale)) return kept;
+               steady_now() - kept->last_received() > kStaleAfter;
+  if (kept && kept->can_submit() && !(must_be_fresh && stale)) return kept;
   kept = connect_h2(io, to, {});
   return kept;
 }
@@ -219,44 +223,44 @@
 void TransportH2::Impl::forward(AttemptId attempt, const Endpoint& to,
                                 const OutboundRequest& request,
                                 AttemptCallback done) {
-  auto entry = std::make_shared<Forwarded>(io);
-  entry->done = std::move(done);
+  auto forwarded = std::make_shared<ForwardedRequest>(io);
+  forwarded->done = std::move(done);
   auto session = session_to(to, !request.repeatable);
-  entry->session = session;
-  forwarded[attempt] = entry;
-  std::weak_ptr<Impl> weak = weak_from_this();
-  entry->stream =
+  forwarded->session = session;
+  forwarded_requests[attempt] = forwarded;
+  std::weak_ptr<Impl> weak_impl = weak_from_this();
+  forwarded->stream =
       session->submit(encode_request(request, self),
-                      [weak, attempt](H2End end, H2Message message) {
-                        if (auto impl = weak.lock()) {
-                          impl->on_reply(attempt, end, std::move(message));
+                      [weak_impl, attempt](H2StreamEnd end, H2Message message) {
+                        if (auto impl = weak_impl.lock()) {
+                          impl->on_stream_end(attempt, end, std::move(message));
                         }
                       });
-  entry->limit.expires_after(request.time_left + kReplySlack);
-  entry->limit.async_wait([weak, attempt](error_code failed) {
-    auto impl = weak.lock();
-    if (!failed && impl) impl->on_limit(attempt);
+  forwarded->timer.expires_after(request.time_left + kReplyMargin);
+  forwarded->timer.async_wait([weak_impl, attempt](error_code failed) {
+    auto impl = weak_impl.lock();
+    if (!failed && impl) impl->on_timeout(attempt);
   });
 }
 
-void TransportH2::Impl::on_reply(AttemptId attempt, H2End end,
-                                 H2Message message) {
+void TransportH2::Impl::on_stream_end(AttemptId attempt, H2StreamEnd end,
+                                      H2Message message) {
   switch (end) {
-    case H2End::kComplete:
+    case H2StreamEnd::kComplete:
       return finish(attempt, decode_reply(std::move(message)));
-    case H2End::kNotProcessed:
+    case H2StreamEnd::kNotProcessed:
       return finish(attempt, {AttemptNotRun{Reason::kOwnerUnreachable,
                                             Duration(0), Epoch()},
                               nullptr});
-    case H2End::kLost:
+    case H2StreamEnd::kLost:
       return finish(attempt,
                     {AttemptUnknown{Reason::kConnectionLost, false}, nullptr});
   }
 }
 
-void TransportH2::Impl::on_limit(AttemptId attempt) {
-  auto found = forwarded.find(attempt);
-  if (found == forwarded.end()) return;
+void TransportH2::Impl::on_timeout(AttemptId attempt) {
+  auto found = forwarded_requests.find(attempt);
+  if (found == forwarded_requests.end()) return;
   auto session = found->second->session.lock();
   bool sent = !session || session->connected();
   if (session) session->cancel(found->second->stream);
@@ -271,12 +275,12 @@
 }
 
 void TransportH2::Impl::finish(AttemptId attempt, AttemptReply reply) {
-  auto found = forwarded.find(attempt);
-  if (found == forwarded.end()) return;
-  auto entry = std::move(found->second);
-  forwarded.erase(found);
-  entry->limit.cancel();
-  entry->done(std::move(reply));
+  auto found = forwarded_requests.find(attempt);
+  if (found == forwarded_requests.end()) return;
+  auto forwarded = std::move(found->second);
+  forwarded_requests.erase(found);
+  forwarded->timer.cancel();
+  forwarded->done(std::move(reply));
 }
 
 TransportH2::TransportH2(asio::io_context& io, DaemonName self,
@@ -300,7 +304,7 @@
   session->submit(
       {{{":method", "POST"}, {":scheme", "http"}, {":path", "/message"}},
        codec::encode_message(message)},
-      [](H2End, const H2Message&) {});
+      [](H2StreamEnd, const H2Message&) {});
 }
 
 void TransportH2::forward(AttemptId attempt, const Endpoint& to,
@@ -310,37 +314,39 @@
 }
 
 void TransportH2::cancel(AttemptId attempt) {
-  auto found = impl_->forwarded.find(attempt);
-  if (found == impl_->forwarded.end()) return;
-  auto entry = std::move(found->second);
-  impl_->forwarded.erase(found);
-  entry->limit.cancel();
-  if (auto session = entry->session.lock()) session->cancel(entry->stream);
+  auto found = impl_->forwarded_requests.find(attempt);
+  if (found == impl_->forwarded_requests.end()) return;
+  auto forwarded = std::move(found->second);
+  impl_->forwarded_requests.erase(found);
+  forwarded->timer.cancel();
+  if (auto session = forwarded->session.lock())
+    session->cancel(forwarded->stream);
 }
 
 void TransportH2::shut_down() {
   error_code ignored;
   impl_->acceptor.close(ignored);
-  for (const auto& link : impl_->server_links) {
-    if (link->session) link->session->shut_down();
+  for (const auto& connection : impl_->incoming_connections) {
+    if (connection->session) connection->session->shut_down();
   }
 }
 
 bool TransportH2::flushed() const {
-  return std::all_of(impl_->server_links.begin(), impl_->server_links.end(),
-                     [](const auto& link) {
-                       return !link->session || link->session->flushed();
-                     });
+  return std::all_of(
+      impl_->incoming_connections.begin(), impl_->incoming_connections.end(),
+      [](const auto& connection) {
+        return !connection->session || connection->session->flushed();
+      });
 }
 
 void TransportH2::close() {
   impl_->closed = true;
   error_code ignored;
   impl_->acceptor.close(ignored);
-  impl_->forwarded.clear();
-  auto links = impl_->server_links;
-  for (const auto& link : links) {
-    if (auto session = link->session) session->close();
+  impl_->forwarded_requests.clear();
+  auto links = impl_->incoming_connections;
+  for (const auto& connection : links) {
+    if (auto session = connection->session) session->close();
   }
   auto sessions = std::move(impl_->sessions);
   impl_->sessions.clear();
@@ -348,10 +354,10 @@
 }
 
 void TransportH2::stall_connections() {
-  for (const auto& link : impl_->server_links) {
-    if (link->session) link->session->silence();
+  for (const auto& connection : impl_->incoming_connections) {
+    if (connection->session) connection->session->stall();
   }
-  for (const auto& [endpoint, session] : impl_->sessions) session->silence();
+  for (const auto& [endpoint, session] : impl_->sessions) session->stall();
 }
 
 }  // namespace eelgrasspin::io
--- a/src/io/transport_h2.h
+++ b/src/io/transport_h2.h
@@ -16,7 +16,8 @@
 
 namespace eelgrasspin::io {
 
-/// A request received from another daemon, waiting for its one end.
+/// A request received from another daemon. It ends with exactly one answer() or
+/// refuse(), or is abandoned by the other daemon.
 class InboundRequest {
  public:
   virtual ~InboundRequest() = default;
@@ -26,8 +27,9 @@
   virtual void answer(std::uint16_t status, const Payload& payload) = 0;
   virtual void refuse(Outcome outcome, Reason reason, Duration retry_after,
                       Epoch newer_epoch) = 0;
-  /// Called when the other daemon gives up before the end.
-  virtual void on_abandoned(std::function<void()> gone) = 0;
+  /// Sets a callback for the case that the other daemon cancels the request
+  /// before it ends.
+  virtual void on_abandoned(std::function<void()> callback) = 0;
 };
 
 /// Messages and requests between daemons over HTTP/2.
@@ -41,7 +43,7 @@
   TransportH2(boost::asio::io_context& io, DaemonName self, Handlers handlers);
   ~TransportH2() override;
 
-  /// Binds the port for other daemons; an error says why it could not.
+  /// Binds the port for other daemons; an error says why that failed.
   std::optional<Error> listen(const Endpoint& endpoint);
   Endpoint bound_endpoint() const;
 
@@ -50,12 +52,12 @@
                const OutboundRequest& request, AttemptCallback done) override;
   void cancel(AttemptId attempt) override;
 
-  /// Refuses further streams from other daemons; open ones end first.
+  /// Refuses new streams from other daemons; open ones may still end.
   void shut_down();
-  /// Every request of another daemon has been answered.
+  /// Whether every request of other daemons has been answered and sent.
   bool flushed() const;
   void close();
-  /// Connections that now exist go silent without being closed. For tests.
+  /// Open connections stop reading and writing without being closed. For tests.
   void stall_connections();
 
   struct Impl;
--- a/tests/caller_port_test.cc
+++ b/tests/caller_port_test.cc
@@ -189,7 +189,7 @@
 
 TEST_F(CallerPortTest, SlowSenderIsCutOff) {
   HttpServerOptions options;
-  options.receive_limit = milliseconds(50);
+  options.receive_timeout = milliseconds(50);
   int handled = 0;
   HttpServer server(io_, options, [&](const auto&) { ++handled; });
   ASSERT_FALSE(server.listen(kAnyPort));
--- a/tests/histogram_test.cc
+++ b/tests/histogram_test.cc
@@ -21,8 +21,8 @@
 TEST(HistogramTest, CountsUpToPowersOfTwo) {
   io::Histogram histogram;
   for (int us : {1, 1023, 1024, 1025, 5000}) histogram.record(Duration(us));
-  EXPECT_EQ(histogram.count_up_to(Duration(1024)), 2U);
-  EXPECT_EQ(histogram.count_up_to(Duration(8192)), 5U);
+  EXPECT_EQ(histogram.count_below(Duration(1024)), 2U);
+  EXPECT_EQ(histogram.count_below(Duration(8192)), 5U);
 }
 
 TEST(HistogramTest, MergedCountsAreTheSum) {
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -208,15 +208,15 @@
 TEST(LogRateLimiter, BoundsEachKindInEachSecondAndCountsTheRest) {
   LogRateLimiter budget(2);
   TimePoint start{seconds(5)};
-  EXPECT_TRUE(budget.take("a", start));
-  EXPECT_TRUE(budget.take("a", start));
-  EXPECT_FALSE(budget.take("a", start));
-  EXPECT_TRUE(budget.take("b", start));
-  EXPECT_TRUE(budget.left_out(start).empty());
-  auto left = budget.left_out(start + seconds(1));
+  EXPECT_TRUE(budget.allow("a", start));
+  EXPECT_TRUE(budget.allow("a", start));
+  EXPECT_FALSE(budget.allow("a", start));
+  EXPECT_TRUE(budget.allow("b", start));
+  EXPECT_TRUE(budget.take_dropped(start).empty());
+  auto left = budget.take_dropped(start + seconds(1));
   ASSERT_EQ(left.size(), 1u);
   EXPECT_EQ(left[0].second, 1u);
-  EXPECT_TRUE(budget.take("a", start + seconds(1)));
+  EXPECT_TRUE(budget.allow("a", start + seconds(1)));
 }
 
 }  // namespace
