--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -148,7 +148,7 @@
     TimePoint now = steady_now();
     std::erase_if(idle_, [&](const auto& connection) {
       bool expired = now - connection->last_response_time() >
-                     config::kReusableConnectionAge;
+                     config::kMaxConnectionReuseAge;
       if (expired) connection->close();
       return expired || !connection->idle();
     });
@@ -177,7 +177,7 @@
     TimePoint now = steady_now();
     if (!idle_.empty()) {
       Duration age = now - idle_.back()->last_response_time();
-      if (repeatable || age <= config::kVerifiedConnectionAge) {
+      if (repeatable || age <= config::kMaxOnceOnlyReuseAge) {
         std::shared_ptr<HttpConnection> connection = std::move(idle_.back());
         idle_.pop_back();
         return connection;
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -219,7 +219,7 @@
   std::string caller_request_id = open->second.caller_request_id;
   BackendPool::Call call{
       format_.make_server_request(open->second.exchange->request(), attempt),
-      attempt.address, attempt.patience, attempt.repeatable,
+      attempt.address, attempt.response_timeout, attempt.repeatable,
       [this, caller_request_id](const HttpResponse& response) {
         return format_.matches_request(caller_request_id, response);
       }};
@@ -369,7 +369,7 @@
 }
 
 void FleetShell::tick() {
-  tick_timer_.expires_after(fleet::config::kTick);
+  tick_timer_.expires_after(fleet::config::kTickInterval);
   tick_timer_.async_wait([this](error_code failed) {
     if (!failed) tick();
   });
@@ -396,7 +396,8 @@
   Duration gap = now - last_tick_;
   last_tick_ = now;
   Duration suspended = boottime_now() - steady_now();
-  bool was_suspended = suspended - suspended_time_ > fleet::config::kTick;
+  bool was_suspended =
+      suspended - suspended_time_ > fleet::config::kTickInterval;
   suspended_time_ = suspended;
   constexpr Duration kSuspensionThreshold = milliseconds(250);
   if (gap > kSuspensionThreshold || was_suspended) apply(fleet::Resumed{gap});
@@ -419,7 +420,7 @@
 }
 
 void FleetShell::advance_stop() {
-  Duration stopping = boottime_now() - state_.stop_ordered;
+  Duration stopping = boottime_now() - state_.stop_ordered_at;
   Duration linger = std::min(fleet::config::kStopLinger,
                              state_.settings.stop_timeout - kStopMargin);
   if (stopping >= linger && !closing_) {
@@ -428,7 +429,7 @@
   }
   if (closing_) caller_server_.close_idle();
   bool done = closing_ && caller_server_.connections() == 0;
-  if (!done && stopping < state_.settings.stop_limit - kStopMargin) return;
+  if (!done && stopping < state_.settings.stop_timeout - kStopMargin) return;
   log_line(LogLevel::kInfo, {{"event", "stop"},
                              {"open", std::to_string(open_requests_.size())},
                              {"after", std::to_string(to_ms(stopping))}});
--- a/src/io/held_requests.h
+++ b/src/io/held_requests.h
@@ -33,7 +33,7 @@
 };
 
 /// Requests of this daemon that have not ended.
-class HeldRequests : public CallerSide {
+class HeldRequests : public ReplySender {
  public:
   RequestId add(HeldRequest request);
   HeldRequest* find(RequestId request);
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -313,7 +313,7 @@
     std::shared_ptr<HttpConnection> connection = std::move(idle.back());
     idle.pop_back();
     if (connection->idle() && now - connection->last_response_time() <
-                                  config::kReusableConnectionAge) {
+                                  config::kMaxConnectionReuseAge) {
       return connection;
     }
     connection->close();
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -35,9 +35,9 @@
   std::size_t body_bytes = config::kMaxBodyBytes;
   std::size_t connections = config::kMaxCallerConnections;
   /// Longest time from the first byte of a request to its last.
-  Duration receive_timeout = config::kReceiveLimit;
+  Duration receive_timeout = config::kRequestReceiveTimeout;
   /// Longest time a connection stays open without a request.
-  Duration idle_timeout = config::kIdleConnectionLimit;
+  Duration idle_timeout = config::kIdleConnectionTimeout;
   /// Builds the response to a request that is refused before it was completely
   /// received.
   std::function<HttpResponse(int status, std::string why)> make_refusal;
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -317,7 +317,7 @@
     outcome = WriteOutcome::kConflict;
   if (failure.kind == StoreFailureKind::kRefused ||
       failure.kind == StoreFailureKind::kMissing) {
-    outcome = WriteOutcome::kNotDone;
+    outcome = WriteOutcome::kWriteRefused;
   }
   sink_(fleet::MapWriteEnded{service, outcome, Version()});
 }
