--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -68,10 +68,10 @@
       state_(fleet::make_state(settings_, boottime_now())),
       store_feed_(io, store, settings_,
                   [this](const fleet::Event& event) { apply(event); }),
-      pool_(io),
+      backend_pool_(io),
       caller_server_(io, caller_server_options(format),
                      [this](const std::shared_ptr<HttpExchange>& exchange) {
-                       on_exchange(exchange);
+                       on_caller_request(exchange);
                      }),
       ready_server_(
           io, {},
@@ -142,7 +142,7 @@
           [this](const fleet::CancelAttempt& e) {
             auto call = attempt_calls_.find(e.id);
             if (call == attempt_calls_.end()) return;
-            pool_.cancel(call->second);
+            backend_pool_.cancel(call->second);
             attempt_calls_.erase(call);
           },
           [this](const fleet::RelayAnswer& e) {
@@ -184,24 +184,25 @@
             key_orders_.release(
                 e, [this](const fleet::OrderEnded& ended) { apply(ended); });
           },
-          [this](const fleet::Note& e) { log(e); },
+          [this](const fleet::Note& e) { log_note(e); },
       },
       effect);
 }
 
-void FleetShell::on_exchange(const std::shared_ptr<HttpExchange>& exchange) {
+void FleetShell::on_caller_request(
+    const std::shared_ptr<HttpExchange>& exchange) {
   Result<CallerRequestHead> read =
       format_.read_caller_request(exchange->request());
   if (!ok(read)) {
     constexpr int kBadRequest = 400;
-    log(fleet::Note{"request_invalid",
-                    {{"from", exchange->request().remote.str()},
-                     {"why", error(read).message}}});
+    log_note(fleet::Note{"request_invalid",
+                         {{"from", exchange->request().remote.str()},
+                          {"why", error(read).message}}});
     return exchange->answer(format_.make_router_response(
         {}, kBadRequest, Duration(0), error(read).message));
   }
   CallerRequestHead& request = value(read);
-  RequestId id(next_request_++);
+  RequestId id(next_request_id_++);
   open_requests_[id] = {exchange, request.caller_request_id, boottime_now()};
   exchange->on_abandoned([this, id] {
     open_requests_.erase(id);
@@ -224,7 +225,7 @@
         return format_.matches_request(caller_request_id, response);
       }};
   TimePoint sent = boottime_now();
-  attempt_calls_[attempt.id] = pool_.start(
+  attempt_calls_[attempt.id] = backend_pool_.start(
       std::move(call), [this, id = attempt.id, sent](HttpResult result) {
         attempt_latency_.record(boottime_now() - sent);
         end_attempt(id, std::move(result));
@@ -296,9 +297,10 @@
   auto message =
       codec::decode_datagram(std::string_view(datagram_.data(), size));
   if (!ok(message)) {
-    return log(fleet::Note{"datagram_unreadable",
-                           {{"from", datagram_sender_.address().to_string()},
-                            {"why", error(message).message}}});
+    return log_note(
+        fleet::Note{"datagram_unreadable",
+                    {{"from", datagram_sender_.address().to_string()},
+                     {"why", error(message).message}}});
   }
   std::visit(
       Overloaded{[this](fleet::Heartbeat& heartbeat) {
@@ -334,7 +336,7 @@
                      static_cast<double>(open_requests_.size())},
                     {"fleet_backend_connections_made",
                      "Connections made to backend servers",
-                     static_cast<double>(pool_.connections_made())},
+                     static_cast<double>(backend_pool_.connections_made())},
                     {"fleet_log_lines_lost",
                      "Log lines left out because the reader was too slow",
                      static_cast<double>(log_lines_dropped())}}) +
@@ -348,7 +350,7 @@
   exchange->answer({200, {{"Content-Type", "text/plain"}}, std::move(text)});
 }
 
-void FleetShell::count(const fleet::Note& note) {
+void FleetShell::count_event(const fleet::Note& note) {
   ++event_counts_[std::string(note.event)];
   if (note.event != "request_end") return;
   std::string labels;
@@ -360,8 +362,8 @@
   ++request_end_counts_[labels];
 }
 
-void FleetShell::log(const fleet::Note& note) {
-  count(note);
+void FleetShell::log_note(const fleet::Note& note) {
+  count_event(note);
   if (!log_limiter_.allow(note.event, boottime_now())) return;
   LogFields fields = {{"event", std::string(note.event)}};
   fields.insert(fields.end(), note.fields.begin(), note.fields.end());
@@ -379,7 +381,7 @@
   TimePoint now = boottime_now();
   if (now - last_cleanup_ >= kCleanupInterval) {
     last_cleanup_ = now;
-    pool_.close_expired();
+    backend_pool_.close_expired();
     for (const auto& [kind, lines] : log_limiter_.take_dropped(now)) {
       log_line(LogLevel::kWarning, {{"event", "log_lines_left_out"},
                                     {"kind", kind},
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -41,7 +41,7 @@
   /// Binds every port; errors name the ports that could not be bound.
   std::vector<Error> bind();
   void start();
-  /// Stops gracefully: accepts no further connections after a while, serves the
+  /// Starts a graceful stop: later accepts no further connections, serves the
   /// open requests, then calls `on_stopped`.
   void request_stop();
   /// Applies reloaded settings as far as they can change at run time.
@@ -56,7 +56,7 @@
 
   void apply(const fleet::Event& event);
   void execute(const fleet::Effect& effect);
-  void on_exchange(const std::shared_ptr<HttpExchange>& exchange);
+  void on_caller_request(const std::shared_ptr<HttpExchange>& exchange);
   void send_attempt(const fleet::SendAttempt& attempt);
   void end_attempt(AttemptId id, HttpResult result);
   void answer(RequestId request, HttpResponse response);
@@ -64,11 +64,12 @@
   void receive_datagram();
   void on_datagram(std::size_t size);
   void on_metrics(const std::shared_ptr<HttpExchange>& exchange);
-  void log(const fleet::Note& note);
-  void count(const fleet::Note& note);
+  void log_note(const fleet::Note& note);
+  void count_event(const fleet::Note& note);
   void tick();
   void detect_suspension();
   void apply_caller_limits();
+  /// Takes the next step of a graceful stop; called at each tick.
   void advance_stop();
 
   boost::asio::io_context& io_;
@@ -79,7 +80,7 @@
   std::function<void()> on_stopped_;
   fleet::State state_;
   StoreFeed store_feed_;
-  BackendPool pool_;
+  BackendPool backend_pool_;
   HttpServer caller_server_;
   HttpServer ready_server_;
   HttpServer metrics_server_;
@@ -89,7 +90,7 @@
   boost::asio::steady_timer tick_timer_;
   std::map<RequestId, OpenRequest> open_requests_;
   std::map<AttemptId, std::uint64_t> attempt_calls_;
-  std::uint64_t next_request_ = 1;
+  std::uint64_t next_request_id_ = 1;
   std::shared_ptr<const fleet::Configuration> limits_configuration_;
   TimePoint last_tick_;
   TimePoint last_cleanup_;
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -143,7 +143,7 @@
       : server_(std::move(server)),
         socket_(std::move(socket)),
         timer_(socket_.get_executor()),
-        buffer_(server_->options.header_bytes + kReadChunkBytes) {}
+        buffer_(server_->options.max_header_bytes + kReadChunkBytes) {}
 
   void start() {
     error_code ignored;
@@ -213,8 +213,8 @@
     receiving_ = false;
     parser_.emplace();
     parser_->header_limit(
-        static_cast<std::uint32_t>(server_->options.header_bytes));
-    parser_->body_limit(server_->options.body_bytes);
+        static_cast<std::uint32_t>(server_->options.max_header_bytes));
+    parser_->body_limit(server_->options.max_body_bytes);
     parser_->eager(true);
     head_checked_ = false;
     if (buffer_.size() > 0 && may_parse()) return parse();
@@ -448,7 +448,7 @@
   acceptor.async_accept([self = shared_from_this()](error_code failed,
                                                     tcp::socket socket) {
     if (!self->acceptor.is_open()) return;
-    if (!failed && self->connections.size() < self->options.connections) {
+    if (!failed && self->connections.size() < self->options.max_connections) {
       auto connection = std::make_shared<Connection>(self, std::move(socket));
       self->connections.insert(connection);
       connection->start();
@@ -504,10 +504,11 @@
 
 void HttpServer::close_after_answers() { impl_->closing = true; }
 
-void HttpServer::set_limits(std::size_t header_bytes, std::size_t body_bytes,
+void HttpServer::set_limits(std::size_t max_header_bytes,
+                            std::size_t max_body_bytes,
                             Duration receive_timeout, Duration idle_timeout) {
-  impl_->options.header_bytes = header_bytes;
-  impl_->options.body_bytes = body_bytes;
+  impl_->options.max_header_bytes = max_header_bytes;
+  impl_->options.max_body_bytes = max_body_bytes;
   impl_->options.receive_timeout = receive_timeout;
   impl_->options.idle_timeout = idle_timeout;
 }
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -31,9 +31,9 @@
 };
 
 struct HttpServerOptions {
-  std::size_t header_bytes = config::kMaxHeaderBytes;
-  std::size_t body_bytes = config::kMaxBodyBytes;
-  std::size_t connections = config::kMaxCallerConnections;
+  std::size_t max_header_bytes = config::kMaxHeaderBytes;
+  std::size_t max_body_bytes = config::kMaxBodyBytes;
+  std::size_t max_connections = config::kMaxCallerConnections;
   /// Longest time from the first byte of a request to its last.
   Duration receive_timeout = config::kRequestReceiveTimeout;
   /// Longest time a connection stays open without a request.
@@ -43,7 +43,7 @@
   std::function<HttpResponse(int status, std::string why)> make_refusal;
 };
 
-/// HTTP/1.1 server on one port. Not thread safe; lives on one io_context.
+/// HTTP/1.1 server on one port. Not thread safe; runs on one io_context.
 class HttpServer {
  public:
   using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
@@ -65,7 +65,7 @@
   /// last response.
   void close_after_answers();
   /// Sets the limits for later requests and connections.
-  void set_limits(std::size_t header_bytes, std::size_t body_bytes,
+  void set_limits(std::size_t max_header_bytes, std::size_t max_body_bytes,
                   Duration receive_timeout, Duration idle_timeout);
   /// Closes connections without a request in progress.
   void close_idle();
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -10,7 +10,7 @@
 /// once, and of a watch that only brings this daemon up to date.
 constexpr Duration kProbeWait = milliseconds(50);
 /// Pause between a change and the next watch: changes in quick succession cost
-/// one call, and the leave of a server is still received in good time.
+/// one call, and the departure of a server is still received in good time.
 constexpr Duration kWatchPause = milliseconds(200);
 /// Delay after a failed call, doubled with each consecutive failure ...
 constexpr Duration kFirstRetryDelay = milliseconds(100);
@@ -64,7 +64,7 @@
 }  // namespace
 
 StoreFeed::StoreFeed(boost::asio::io_context& io, FleetStore& store,
-                     const fleet::Settings& settings, Sink sink)
+                     const fleet::Settings& settings, EventSink sink)
     : io_(io),
       store_(store),
       settings_(settings),
--- a/src/io/store_feed.h
+++ b/src/io/store_feed.h
@@ -19,16 +19,16 @@
 /// store no longer has the history. Writes this system's own records.
 class StoreFeed {
  public:
-  using Sink = std::function<void(const fleet::Event&)>;
+  using EventSink = std::function<void(const fleet::Event&)>;
 
   StoreFeed(boost::asio::io_context& io, FleetStore& store,
-            const fleet::Settings& settings, Sink sink);
+            const fleet::Settings& settings, EventSink sink);
 
   void start();
   /// Enables or disables watching. It continues from the revisions up to which
   /// this daemon's copies are complete.
   void set_watch(const fleet::WatchStore& watch);
-  /// Reads the changes of one kind once.
+  /// Asks the store once for the changes of one kind.
   void catch_up(const fleet::CatchUp& request);
   void write_map(const fleet::WriteMap& write);
   void read_map(const ServiceName& service);
@@ -38,8 +38,8 @@
     explicit KindState(boost::asio::io_context& io) : timer(io) {}
     boost::asio::steady_timer timer;
     Version as_of;
-    std::vector<StoredObject> listed;
-    std::uint32_t failures = 0;
+    std::vector<StoredObject> listed;  ///< Pages of the list in progress.
+    std::uint32_t failures = 0;        ///< Consecutive failed calls.
     bool busy = false;  ///< A call or the pause before one is in progress.
   };
 
@@ -66,7 +66,7 @@
   boost::asio::io_context& io_;
   FleetStore& store_;
   fleet::Settings settings_;
-  Sink sink_;
+  EventSink sink_;
   std::map<ObjectKind, std::unique_ptr<KindState>> states_;
   boost::asio::steady_timer registration_timer_;
   boost::asio::steady_timer relist_timer_;
--- a/src/io/transport_h2.cc
+++ b/src/io/transport_h2.cc
@@ -212,12 +212,13 @@
 /// `must_be_fresh`, a connected session without recent input is replaced too.
 std::shared_ptr<H2Session> TransportH2::Impl::session_to(const Endpoint& to,
                                                          bool must_be_fresh) {
-  std::shared_ptr<H2Session>& kept = sessions[to];
-  bool stale = kept && kept->connected() &&
-               steady_now() - kept->last_received() > kStaleAfter;
-  if (kept && kept->can_submit() && !(must_be_fresh && stale)) return kept;
-  kept = connect_h2(io, to, {});
-  return kept;
+  std::shared_ptr<H2Session>& existing = sessions[to];
+  bool stale = existing && existing->connected() &&
+               steady_now() - existing->last_received() > kStaleAfter;
+  if (existing && existing->can_submit() && !(must_be_fresh && stale))
+    return existing;
+  existing = connect_h2(io, to, {});
+  return existing;
 }
 
 void TransportH2::Impl::forward(AttemptId attempt, const Endpoint& to,
--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -42,7 +42,7 @@
 
 Platform::Platform(boost::asio::io_context& io)
     : io_(io),
-      server_(io, {.body_bytes = 2 * kMaxValueBytes},
+      server_(io, {.max_body_bytes = 2 * kMaxValueBytes},
               [this](const Exchange& exchange) { handle(exchange); }) {}
 
 Platform::~Platform() { watches_.clear(); }
