--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -10,7 +10,7 @@
 namespace eelgrasspin {
 namespace {
 
-const SlotGrant kUnit{SlotId(7), Key(), Epoch(4)};
+const SlotGrant kGrantedSlot{SlotId(7), Key(), Epoch(4)};
 
 class BackendCallsTest : public ::testing::Test {
  protected:
@@ -37,7 +37,7 @@
     GrantOrder first{.front_epoch = epoch, .sequence = 1, .term = seconds(60)};
     first.set_version = 1;
     first.carries_set = true;
-    first.slots = {kUnit};
+    first.slots = {kGrantedSlot};
     EXPECT_TRUE(std::holds_alternative<GrantAnswer>(order(first)));
     GrantOrder second = first;
     second.sequence = 2;
@@ -50,9 +50,9 @@
     request.head.service = ServiceName("panboard");
     request.head.method = "POST";
     request.head.path = "/pans/pan-1/readings";
-    request.slot = kUnit.slot;
+    request.slot = kGrantedSlot.slot;
     request.key = Key("pan-1\r\nx: y");
-    request.epoch = kUnit.epoch;
+    request.epoch = kGrantedSlot.epoch;
     request.front_epoch = FrontEpoch(1);
     request.time_left = seconds(2);
     request.repeatable = repeatable;
@@ -92,7 +92,7 @@
   std::uint64_t attempts_ = 0;
 };
 
-TEST_F(BackendCallsTest, RunsUnderAGrantOnly) {
+TEST_F(BackendCallsTest, RequestRunsOnlyUnderAGrant) {
   EXPECT_EQ(not_run_reason(run(request())), Reason::kGrantRefused);
   grant();
   AttemptReply reply = run(request());
@@ -150,7 +150,7 @@
   EXPECT_EQ(reply.payload, nullptr);
 }
 
-TEST_F(BackendCallsTest, DeadConnectionIsUnknownAndSaysSo) {
+TEST_F(BackendCallsTest, ClosedConnectionIsUnknownAndReportedAsClosed) {
   grant();
   server_->set_work(milliseconds(500));
   AttemptId attempt = send(request(false));
@@ -166,9 +166,9 @@
 TEST_F(BackendCallsTest, TimeoutIsUnknownAndItsConnectionIsNotReused) {
   grant();
   server_->set_work(milliseconds(300));
-  OutboundRequest hasty = request();
-  hasty.time_left = milliseconds(50);
-  EXPECT_EQ(std::get<AttemptUnknown>(run(hasty).result).reason,
+  OutboundRequest short_deadline_request = request();
+  short_deadline_request.time_left = milliseconds(50);
+  EXPECT_EQ(std::get<AttemptUnknown>(run(short_deadline_request).result).reason,
             Reason::kTimeoutAfterSend);
   EXPECT_EQ(calls_.connections(server_->bound_endpoint()), 0U);
   server_->set_work(milliseconds(1));
@@ -187,7 +187,8 @@
   EXPECT_TRUE(replies_.empty());
 }
 
-TEST_F(BackendCallsTest, NonRepeatableGoesOutOnAFreshConnectionWhenIdleIsOld) {
+TEST_F(BackendCallsTest,
+       NonRepeatableRequestUsesANewConnectionIfTheIdleOneIsOld) {
   grant();
   run(request());
   run_for(io_, std::chrono::milliseconds(150));
@@ -197,7 +198,7 @@
   EXPECT_EQ(server_->executions().size(), 2U);
 }
 
-TEST_F(BackendCallsTest, SilentConnectionIsGivenUpInTimeForAFreshOne) {
+TEST_F(BackendCallsTest, StalledConnectionIsAbandonedInTimeForANewOne) {
   grant();
   calls_.set_limits(server_->bound_endpoint(),
                     {4, milliseconds(1), milliseconds(200)});
--- a/tests/backend_pool_test.cc
+++ b/tests/backend_pool_test.cc
@@ -14,17 +14,18 @@
 
 using boost::asio::ip::tcp;
 
-/// A server that resets a connection at its next request when told to.
-class ForgetfulServer {
+/// A server that can drop its open connections like one that forgets idle
+/// connections: each is reset only at its next request.
+class IdleDroppingServer {
  public:
-  explicit ForgetfulServer(boost::asio::io_context& io)
+  explicit IdleDroppingServer(boost::asio::io_context& io)
       : acceptor_(
             io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)) {
     accept();
   }
-  /// The connections that are open now are forgotten.
-  void forget() {
-    for (Peer& peer : peers_) peer.forgotten = true;
+  /// Drops the connections that are open now.
+  void drop_open_connections() {
+    for (Peer& peer : peers_) peer.dropped = true;
   }
   Endpoint endpoint() const {
     return Endpoint("127.0.0.1:" +
@@ -36,7 +37,7 @@
     explicit Peer(tcp::socket accepted) : socket(std::move(accepted)) {}
     tcp::socket socket;
     std::array<char, 4096> buffer{};
-    bool forgotten = false;
+    bool dropped = false;
   };
 
   void accept() {
@@ -54,7 +55,7 @@
         boost::asio::buffer(peer.buffer),
         [this, &peer](boost::system::error_code failed, std::size_t) {
           if (failed) return;
-          if (peer.forgotten) {
+          if (peer.dropped) {
             boost::system::error_code ignored;
             peer.socket.set_option(boost::asio::socket_base::linger(true, 0),
                                    ignored);
@@ -88,44 +89,45 @@
     EXPECT_TRUE(run_until(io_, [&] { return result.has_value(); }));
     return std::holds_alternative<HttpResponse>(*result);
   }
-  void rest(Duration duration) {
+  void wait_idle(Duration duration) {
     io_.run_for(duration);
     io_.restart();
   }
 
   boost::asio::io_context io_;
-  ForgetfulServer server_;
+  IdleDroppingServer server_;
   BackendPool pool_;
 };
 
-TEST_F(BackendPoolTest, ConnectionsAreUsedAgain) {
+TEST_F(BackendPoolTest, ConnectionsAreReused) {
   EXPECT_TRUE(call(true));
   EXPECT_TRUE(call(false));
   EXPECT_EQ(pool_.connections_made(), 1u);
 }
 
-/// Servers that forget resting connections cost repeatable requests a second
-/// send, but not once-only requests their answer.
-TEST_F(BackendPoolTest, OnceOnlyRequestsKeepOffConnectionsThatServersForget) {
+/// If a server drops idle connections, a repeatable request may fail and be
+/// sent again, but a request that may run only once must not fail.
+TEST_F(BackendPoolTest, OnceOnlyRequestsAvoidConnectionsThatMayBeStale) {
   EXPECT_TRUE(call(true));
-  rest(milliseconds(150));
-  server_.forget();
+  wait_idle(milliseconds(150));
+  server_.drop_open_connections();
   EXPECT_FALSE(call(true));
   EXPECT_TRUE(call(true));
-  rest(milliseconds(600));
-  server_.forget();
+  wait_idle(milliseconds(600));
+  server_.drop_open_connections();
   EXPECT_TRUE(call(false));
   EXPECT_EQ(pool_.connections_made(), 3u);
 }
 
-/// What is too risky for one request stays there for another.
-TEST_F(BackendPoolTest, RiskyConnectionsStayForRepeatableRequests) {
+/// A connection that is too old for a request that may run only once stays in
+/// the pool for repeatable requests.
+TEST_F(BackendPoolTest, OldConnectionsRemainForRepeatableRequests) {
   EXPECT_TRUE(call(true));
-  rest(milliseconds(150));
-  server_.forget();
+  wait_idle(milliseconds(150));
+  server_.drop_open_connections();
   EXPECT_FALSE(call(true));
   EXPECT_TRUE(call(true));
-  rest(milliseconds(600));
+  wait_idle(milliseconds(600));
   EXPECT_TRUE(call(false));
   EXPECT_TRUE(call(true));
   EXPECT_EQ(pool_.connections_made(), 3u);
--- a/tests/caller_port_test.cc
+++ b/tests/caller_port_test.cc
@@ -16,7 +16,7 @@
                  heads_.push_back(request.head);
                  if (hold_) {
                    held_.push_back(exchange);
-                   exchange->on_abandoned([this] { ++gone_; });
+                   exchange->on_abandoned([this] { ++abandoned_; });
                    return;
                  }
                  exchange->answer(make_caller_response(200, *request.payload));
@@ -38,11 +38,11 @@
   std::vector<std::shared_ptr<HttpExchange>> held_;
   bool hold_ = false;
   bool healthy_ = true;
-  int gone_ = 0;
+  int abandoned_ = 0;
   CallerPort port_;
 };
 
-TEST_F(CallerPortTest, ReadsTheCallersFields) {
+TEST_F(CallerPortTest, ReadsCallerFields) {
   std::string received = exchange_raw(
       "PUT /panboard/pans/pan-17/readings?x=1 HTTP/1.1\r\nHost: a\r\n"
       "Idempotency-Key: k1\r\nEelgrasspin-Deadline-Ms: 2000\r\n"
@@ -142,7 +142,7 @@
   EXPECT_TRUE(heads_.empty());
 }
 
-TEST_F(CallerPortTest, UnusableCallersFieldsAreRefused) {
+TEST_F(CallerPortTest, InvalidCallerFieldsAreRefused) {
   std::string head = "GET /panboard/x HTTP/1.1\r\nConnection: close\r\n";
   for (const std::string& field : std::vector<std::string>{
            "Eelgrasspin-Deadline-Ms: 0", "Eelgrasspin-Deadline-Ms: soon",
@@ -160,14 +160,14 @@
   EXPECT_TRUE(heads_.empty());
 }
 
-TEST_F(CallerPortTest, CallerThatLeavesIsNoticed) {
+TEST_F(CallerPortTest, DisconnectOfTheCallerIsDetected) {
   hold_ = true;
   RawClient client(io_, port_.server().bound_endpoint());
   client.send("GET /panboard/x HTTP/1.1\r\nHost: a\r\n\r\n");
   ASSERT_TRUE(run_until(io_, [&] { return held_.size() == 1; }));
-  EXPECT_EQ(gone_, 0);
+  EXPECT_EQ(abandoned_, 0);
   client.close();
-  ASSERT_TRUE(run_until(io_, [&] { return gone_ == 1; }));
+  ASSERT_TRUE(run_until(io_, [&] { return abandoned_ == 1; }));
   EXPECT_EQ(port_.server().open_exchanges(), 0U);
 }
 
@@ -180,14 +180,15 @@
   EXPECT_LT(received.find("one"), received.find("two"));
 }
 
-TEST_F(CallerPortTest, HealthFollowsTheDaemon) {
-  std::string ask = "GET /-/health HTTP/1.1\r\nConnection: close\r\n\r\n";
-  EXPECT_TRUE(exchange_raw(ask).starts_with("HTTP/1.1 200 "));
+TEST_F(CallerPortTest, HealthCheckReportsTheDaemonsState) {
+  std::string request_text =
+      "GET /-/health HTTP/1.1\r\nConnection: close\r\n\r\n";
+  EXPECT_TRUE(exchange_raw(request_text).starts_with("HTTP/1.1 200 "));
   healthy_ = false;
-  EXPECT_TRUE(exchange_raw(ask).starts_with("HTTP/1.1 503 "));
+  EXPECT_TRUE(exchange_raw(request_text).starts_with("HTTP/1.1 503 "));
 }
 
-TEST_F(CallerPortTest, SlowSenderIsCutOff) {
+TEST_F(CallerPortTest, SlowSenderGetsATimeout) {
   HttpServerOptions options;
   options.receive_timeout = milliseconds(50);
   int handled = 0;
--- a/tests/histogram_test.cc
+++ b/tests/histogram_test.cc
@@ -5,7 +5,7 @@
 namespace eelgrasspin {
 namespace {
 
-TEST(HistogramTest, QuantilesAreWithinOneStep) {
+TEST(HistogramTest, QuantilesAreWithinOneBucket) {
   io::Histogram histogram;
   for (int us = 1; us <= 100'000; ++us) histogram.record(Duration(us));
   EXPECT_EQ(histogram.count(), 100'000U);
@@ -18,7 +18,7 @@
   EXPECT_EQ(io::Histogram().quantile(0.99), Duration(0));
 }
 
-TEST(HistogramTest, CountsUpToPowersOfTwo) {
+TEST(HistogramTest, CountsBelowPowersOfTwo) {
   io::Histogram histogram;
   for (int us : {1, 1023, 1024, 1025, 5000}) histogram.record(Duration(us));
   EXPECT_EQ(histogram.count_below(Duration(1024)), 2U);
--- a/tests/io_cluster.h
+++ b/tests/io_cluster.h
@@ -16,8 +16,8 @@
 
 namespace eelgrasspin {
 
-/// Whole daemons with stand-ins over loopback sockets, in one thread: one zone,
-/// one service "panboard".
+/// Complete daemons, with stand-ins for the platform and backend servers, over
+/// loopback sockets in one thread. One zone, one service "panboard".
 class IoCluster {
  public:
   IoCluster() : platform_(io_) {
@@ -75,16 +75,16 @@
   }
 
   io::HttpResult call(const Endpoint& to, const io::HttpRequest& request,
-                      Duration limit = seconds(6)) {
-    std::optional<io::HttpResult> result = start_call(to, request, limit);
+                      Duration timeout = seconds(6)) {
+    std::optional<io::HttpResult> result = call_and_wait(to, request, timeout);
     return *result;
   }
 
   io::HttpResponse answer(const Endpoint& to, const io::HttpRequest& request,
-                          Duration limit = seconds(6)) {
-    io::HttpResult result = call(to, request, limit);
-    if (const auto* whole = std::get_if<io::HttpResponse>(&result))
-      return *whole;
+                          Duration timeout = seconds(6)) {
+    io::HttpResult result = call(to, request, timeout);
+    if (const auto* response = std::get_if<io::HttpResponse>(&result))
+      return *response;
     return {0, {}, std::get<io::HttpFailure>(result).why, false};
   }
 
@@ -113,15 +113,15 @@
             {}};
   }
 
-  static std::string outcome(const io::HttpResponse& answer) {
+  static std::string outcome(const io::HttpResponse& response) {
     const std::string* text =
-        io::find_header(answer.headers, "eelgrasspin-outcome");
+        io::find_header(response.headers, "eelgrasspin-outcome");
     return text == nullptr ? std::string() : *text;
   }
 
   /// Applies the declarations and waits until every key is served by each
   /// daemon.
-  bool serve() {
+  bool apply_and_wait_until_served() {
     if (apply(*daemons_.front()).status != 200) return false;
     for (const auto& daemon : daemons_) {
       for (int key = 0; key < 24; ++key) {
@@ -152,24 +152,24 @@
     return count;
   }
 
-  /// Starts a call whose result is filled in while the context runs.
+  /// Starts a call. Its result is set while the io_context runs.
   std::shared_ptr<std::optional<io::HttpResult>> begin(
-      const Endpoint& to, const io::HttpRequest& request, Duration limit) {
+      const Endpoint& to, const io::HttpRequest& request, Duration timeout) {
     auto result = std::make_shared<std::optional<io::HttpResult>>();
     auto connection = io::make_http_connection(io_, to);
-    connection->exchange(request, limit,
-                         [result, connection](io::HttpResult answer) {
-                           *result = std::move(answer);
+    connection->exchange(request, timeout,
+                         [result, connection](io::HttpResult ended) {
+                           *result = std::move(ended);
                            connection->close();
                          });
     return result;
   }
 
  private:
-  std::optional<io::HttpResult> start_call(const Endpoint& to,
-                                           const io::HttpRequest& request,
-                                           Duration limit) {
-    auto result = begin(to, request, limit);
+  std::optional<io::HttpResult> call_and_wait(const Endpoint& to,
+                                              const io::HttpRequest& request,
+                                              Duration timeout) {
+    auto result = begin(to, request, timeout);
     EXPECT_TRUE(run_until(io_, [&] { return result->has_value(); }));
     return *result;
   }
--- a/tests/io_test_util.h
+++ b/tests/io_test_util.h
@@ -15,13 +15,13 @@
 
 inline const Endpoint kAnyPort("127.0.0.1:0");
 
-/// Runs the context until `done()` holds. False if that takes longer than a
-/// hung test may.
+/// Runs the context until `done()` is true. Returns false after 20 s, so that a
+/// hung test ends.
 template <class Predicate>
 bool run_until(boost::asio::io_context& io, Predicate done) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
-    if (std::chrono::steady_clock::now() > limit) return false;
+    if (std::chrono::steady_clock::now() > deadline) return false;
     io.restart();
     io.run_one_for(std::chrono::milliseconds(5));
   }
@@ -34,7 +34,7 @@
   io.run_for(duration);
 }
 
-/// A client that sends bytes as they are.
+/// A client that sends arbitrary bytes.
 class RawClient {
  public:
   RawClient(boost::asio::io_context& io, const Endpoint& server)
@@ -49,7 +49,8 @@
                        ignored);
   }
 
-  /// Everything received until the server closes; false if it does not.
+  /// Appends everything received until the server closes the connection. False
+  /// if it does not close it.
   bool read_to_end(std::string& received) {
     return run_until(io_, [&] { return !read_some(received); });
   }
@@ -66,10 +67,10 @@
  private:
   /// False at the end of the stream.
   bool read_some(std::string& received) {
-    char part[4096];
+    char chunk[4096];
     boost::system::error_code failed;
-    std::size_t count = socket_.read_some(boost::asio::buffer(part), failed);
-    received.append(part, count);
+    std::size_t count = socket_.read_some(boost::asio::buffer(chunk), failed);
+    received.append(chunk, count);
     return !failed || failed == boost::asio::error::would_block;
   }
 
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -20,7 +20,7 @@
   Pipeline()
       : server_(io_, {},
                 [this](const std::shared_ptr<HttpExchange>& exchange) {
-                  open_.push_back(exchange);
+                  exchanges_.push_back(exchange);
                 }),
         socket_(io_) {
     EXPECT_FALSE(server_.listen(Endpoint("127.0.0.1:0")));
@@ -38,15 +38,15 @@
     }
     ASSERT_TRUE(done());
   }
-  /// What has arrived, waiting until it ends in `end`.
+  /// Waits until the bytes received end with `end`, and returns them.
   std::string received(const std::string& end) {
     std::string text;
     socket_.non_blocking(true);
     run_until([&] {
-      std::array<char, 4096> part{};
+      std::array<char, 4096> chunk{};
       boost::system::error_code failed;
-      std::size_t count = socket_.read_some(boost::asio::buffer(part), failed);
-      text.append(part.data(), count);
+      std::size_t count = socket_.read_some(boost::asio::buffer(chunk), failed);
+      text.append(chunk.data(), count);
       return text.size() >= end.size() &&
              text.compare(text.size() - end.size(), end.size(), end) == 0;
     });
@@ -54,7 +54,7 @@
   }
 
   boost::asio::io_context io_;
-  std::vector<std::shared_ptr<HttpExchange>> open_;
+  std::vector<std::shared_ptr<HttpExchange>> exchanges_;
   HttpServer server_;
   tcp::socket socket_;
 };
@@ -62,77 +62,78 @@
 const std::string kFirst = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
 const std::string kSecond = "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n";
 
-TEST_F(Pipeline, RequestsAreHandledSideBySideAndAnsweredInOrder) {
+TEST_F(Pipeline, RequestsAreHandledConcurrentlyAndAnsweredInOrder) {
   send(kFirst + kSecond);
-  run_until([&] { return open_.size() == 2; });
-  open_[1]->answer({200, {}, "second"});
-  open_[0]->answer({200, {}, "first"});
+  run_until([&] { return exchanges_.size() == 2; });
+  exchanges_[1]->answer({200, {}, "second"});
+  exchanges_[0]->answer({200, {}, "first"});
   std::string text = received("second");
   EXPECT_LT(text.find("first"), text.find("second"));
 }
 
-TEST_F(Pipeline, AnswersOwedAreSentBeforeTheConnectionCloses) {
+TEST_F(Pipeline, PendingResponsesAreSentBeforeTheConnectionCloses) {
   send(kFirst + kSecond);
-  run_until([&] { return open_.size() == 2; });
+  run_until([&] { return exchanges_.size() == 2; });
   server_.close_after_answers();
-  open_[0]->answer({200, {}, "first"});
+  exchanges_[0]->answer({200, {}, "first"});
   std::string first = received("first");
   EXPECT_EQ(first.find("Connection: close"), std::string::npos);
-  open_[1]->answer({200, {}, "second"});
+  exchanges_[1]->answer({200, {}, "second"});
   std::string second = received("second");
   EXPECT_NE(second.find("Connection: close"), std::string::npos);
 }
 
-/// A caller that always has a request under way may not keep its connection,
-/// and with it the stopping process, busy for ever.
-TEST_F(Pipeline, NoFurtherRequestIsReadOnceAConnectionIsToClose) {
+/// A caller that always has a request in progress must not keep its connection
+/// open, and with it the stopping process alive, indefinitely.
+TEST_F(Pipeline, NoFurtherRequestIsReadOnAConnectionThatWillClose) {
   send(kFirst);
-  run_until([&] { return open_.size() == 1; });
+  run_until([&] { return exchanges_.size() == 1; });
   server_.close_after_answers();
   send(kSecond);
-  run_until([&] { return open_.size() == 2; });
-  open_[0]->answer({200, {}, "first"});
+  run_until([&] { return exchanges_.size() == 2; });
+  exchanges_[0]->answer({200, {}, "first"});
   received("first");
   send("GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
   io_.run_for(std::chrono::milliseconds(50));
   io_.restart();
-  EXPECT_EQ(open_.size(), 2u);
-  open_[1]->answer({200, {}, "second"});
+  EXPECT_EQ(exchanges_.size(), 2u);
+  exchanges_[1]->answer({200, {}, "second"});
   EXPECT_NE(received("second").find("Connection: close"), std::string::npos);
 }
 
 TEST_F(Pipeline, NoFurtherRequestIsReadOnceAcceptingHasStopped) {
   send(kFirst);
-  run_until([&] { return open_.size() == 1; });
+  run_until([&] { return exchanges_.size() == 1; });
   server_.close_after_answers();
   server_.stop_accepting();
   send(kSecond);
   io_.run_for(std::chrono::milliseconds(50));
   io_.restart();
-  EXPECT_EQ(open_.size(), 1u);
-  open_[0]->answer({200, {}, "first"});
+  EXPECT_EQ(exchanges_.size(), 1u);
+  exchanges_[0]->answer({200, {}, "first"});
   EXPECT_NE(received("first").find("Connection: close"), std::string::npos);
 }
 
-TEST_F(Pipeline, EveryRequestOfAClosedConnectionIsTold) {
+TEST_F(Pipeline, EveryRequestOfAClosedConnectionIsAbandoned) {
   send(kFirst + kSecond);
-  run_until([&] { return open_.size() == 2; });
-  int gone = 0;
-  for (const auto& exchange : open_)
-    exchange->on_abandoned([&gone] { ++gone; });
+  run_until([&] { return exchanges_.size() == 2; });
+  int abandoned = 0;
+  for (const auto& exchange : exchanges_)
+    exchange->on_abandoned([&abandoned] { ++abandoned; });
   socket_.close();
-  run_until([&] { return gone == 2; });
+  run_until([&] { return abandoned == 2; });
 }
 
-TEST_F(Pipeline, ABadRequestIsRefusedBehindTheAnswersOwed) {
+TEST_F(Pipeline, ABadRequestIsRefusedAfterPendingResponses) {
   send(kFirst + "nonsense\r\n\r\n");
-  run_until([&] { return open_.size() == 1; });
-  open_[0]->answer({200, {}, "first"});
+  run_until([&] { return exchanges_.size() == 1; });
+  exchanges_[0]->answer({200, {}, "first"});
   std::string text = received("\n");
   EXPECT_LT(text.find("200 OK"), text.find("400 Bad Request"));
 }
 
-/// A server that sends given bytes for each request and then may close.
+/// A server that sends the given bytes as the response and then optionally
+/// closes the connection.
 class RawServer {
  public:
   RawServer(boost::asio::io_context& io, std::string bytes, bool close)
@@ -183,40 +184,42 @@
   return result.value_or(HttpFailure{});
 }
 
-TEST(HttpClientAnswers, AnAnswerWithoutLengthEndsWithItsConnection) {
+TEST(HttpClientResponses, AResponseWithoutLengthEndsWithItsConnection) {
   auto result = call("HTTP/1.1 200 OK\r\n\r\nwhole", true);
   ASSERT_TRUE(std::holds_alternative<HttpResponse>(result));
   EXPECT_EQ(std::get<HttpResponse>(result).body, "whole");
 }
 
-TEST(HttpClientAnswers, AnAnswerThatEndsEarlyIsNotComplete) {
+TEST(HttpClientResponses, AResponseThatEndsEarlyIsTruncated) {
   auto result = call("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart", true);
   ASSERT_TRUE(std::holds_alternative<HttpFailure>(result));
   EXPECT_EQ(std::get<HttpFailure>(result).kind, HttpFailureKind::kTruncated);
 }
 
-TEST(HttpClientAnswers, AnswersToOtherRequestsArePassedOver) {
-  auto mine = [](const HttpResponse& answer) { return answer.body == "mine"; };
+TEST(HttpClientResponses, ResponsesToOtherRequestsAreSkipped) {
+  auto is_expected = [](const HttpResponse& answer) {
+    return answer.body == "mine";
+  };
   auto result = call(
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
       "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine",
-      false, mine);
+      false, is_expected);
   ASSERT_TRUE(std::holds_alternative<HttpResponse>(result));
   EXPECT_EQ(std::get<HttpResponse>(result).body, "mine");
 }
 
 TEST(LogRateLimiter, BoundsEachKindInEachSecondAndCountsTheRest) {
-  LogRateLimiter budget(2);
+  LogRateLimiter limiter(2);
   TimePoint start{seconds(5)};
-  EXPECT_TRUE(budget.allow("a", start));
-  EXPECT_TRUE(budget.allow("a", start));
-  EXPECT_FALSE(budget.allow("a", start));
-  EXPECT_TRUE(budget.allow("b", start));
-  EXPECT_TRUE(budget.take_dropped(start).empty());
-  auto left = budget.take_dropped(start + seconds(1));
-  ASSERT_EQ(left.size(), 1u);
-  EXPECT_EQ(left[0].second, 1u);
-  EXPECT_TRUE(budget.allow("a", start + seconds(1)));
+  EXPECT_TRUE(limiter.allow("a", start));
+  EXPECT_TRUE(limiter.allow("a", start));
+  EXPECT_FALSE(limiter.allow("a", start));
+  EXPECT_TRUE(limiter.allow("b", start));
+  EXPECT_TRUE(limiter.take_dropped(start).empty());
+  auto dropped = limiter.take_dropped(start + seconds(1));
+  ASSERT_EQ(dropped.size(), 1u);
+  EXPECT_EQ(dropped[0].second, 1u);
+  EXPECT_TRUE(limiter.allow("a", start + seconds(1)));
 }
 
 }  // namespace
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -8,7 +8,8 @@
 #include "request_format.h"
 #include "settings_file.h"
 
-/// The adapter to the users' platform: what it reads, and what it refuses.
+/// Tests of the adapter to the users' platform: which input it accepts and
+/// which it rejects.
 namespace eelgrasspin::platform {
 namespace {
 
@@ -31,7 +32,7 @@
   return read_settings_file(text, "local.conf", Incarnation(7));
 }
 
-TEST(PlatformSettings, ReadsWhatADaemonNeeds) {
+TEST(PlatformSettings, ReadsDaemonSettings) {
   auto checked = read(kSettings);
   ASSERT_TRUE(std::holds_alternative<DaemonSettings>(checked));
   const auto& settings = std::get<DaemonSettings>(checked);
@@ -87,20 +88,20 @@
   EXPECT_EQ(read.limits.idle_timeout, seconds(15));
 }
 
-TEST(PlatformObjects, APartOfAConfigurationIsNone) {
+TEST(PlatformObjects, IncompleteOrInvalidConfigurationIsRejected) {
   std::string text = kConfiguration;
-  auto without = [&](const std::string& from, const std::string& to) {
+  auto accepts_changed = [&](const std::string& from, const std::string& to) {
     std::string changed = text;
     changed.replace(changed.find(from), from.size(), to);
     return ok(read_configuration(changed));
   };
-  EXPECT_FALSE(without("\"service\":\"two\",\"timeoutS\"",
-                       "\"service\":\"six\",\"timeoutS\""));
-  EXPECT_FALSE(without("\"timeoutS\":1.2,", ""));
-  EXPECT_FALSE(without("\"timeoutS\":1.2", "\"timeoutS\":-1"));
-  EXPECT_FALSE(without("\"weight\":90", "\"weight\":-90"));
-  EXPECT_FALSE(without("/x/", "x"));
-  EXPECT_FALSE(without("\"version\":7", "\"version\":\"new\""));
+  EXPECT_FALSE(accepts_changed("\"service\":\"two\",\"timeoutS\"",
+                               "\"service\":\"six\",\"timeoutS\""));
+  EXPECT_FALSE(accepts_changed("\"timeoutS\":1.2,", ""));
+  EXPECT_FALSE(accepts_changed("\"timeoutS\":1.2", "\"timeoutS\":-1"));
+  EXPECT_FALSE(accepts_changed("\"weight\":90", "\"weight\":-90"));
+  EXPECT_FALSE(accepts_changed("/x/", "x"));
+  EXPECT_FALSE(accepts_changed("\"version\":7", "\"version\":\"new\""));
   for (std::size_t cut = 0; cut + 1 < text.size(); cut += 7) {
     EXPECT_FALSE(ok(read_configuration(text.substr(0, cut)))) << cut;
   }
@@ -119,7 +120,7 @@
   EXPECT_FALSE(value(result).draining);
 }
 
-TEST(PlatformObjects, EntriesOfOthersNameNoServerAndHideNone) {
+TEST(PlatformObjects, UnreadableEntriesDoNotHideReadableOnes) {
   std::string list =
       std::string(R"({"items":[)") +
       R"({"metadata":{"name":"bad","rev":3},"spec":{"addr":1}},)" +
@@ -153,7 +154,7 @@
           {}};
 }
 
-TEST(PlatformRequests, ReadsACallersFields) {
+TEST(PlatformRequests, ReadsCallerFields) {
   auto read = HeaderFormat().read_caller_request(caller_request());
   ASSERT_TRUE(ok(read));
   EXPECT_EQ(value(read).host, "a.example");
@@ -162,7 +163,7 @@
   EXPECT_EQ(value(read).deadline, seconds(2));
 }
 
-TEST(PlatformRequests, WrongFieldsAreErrors) {
+TEST(PlatformRequests, InvalidFieldsAreErrors) {
   for (auto [name, text] :
        {std::pair(kShardKeyHeader, "65536"), std::pair(kShardKeyHeader, "-1"),
         std::pair(kDeadlineMsHeader, "soon")}) {
@@ -175,21 +176,21 @@
   }
 }
 
-TEST(PlatformRequests, PassesOnWhatConcernsTheServer) {
+TEST(PlatformRequests, ForwardsTheRequestToTheServer) {
   fleet::SendAttempt attempt;
   attempt.server = ServerName("i-1");
   attempt.time_left = milliseconds(700);
-  io::HttpRequest sent =
+  io::HttpRequest forwarded =
       HeaderFormat().make_server_request(caller_request(), attempt);
-  EXPECT_EQ(*io::find_header(sent.headers, kDeadlineMsHeader), "700");
-  EXPECT_EQ(io::count_headers(sent.headers, kDeadlineMsHeader), 1u);
-  EXPECT_EQ(*io::find_header(sent.headers, kExpectInstanceHeader), "i-1");
-  EXPECT_EQ(*io::find_header(sent.headers, kRequestIdHeader), "id1");
-  EXPECT_EQ(*io::find_header(sent.headers, "X-Other"), "2");
-  EXPECT_EQ(io::find_header(sent.headers, "X-Mine"), nullptr);
+  EXPECT_EQ(*io::find_header(forwarded.headers, kDeadlineMsHeader), "700");
+  EXPECT_EQ(io::count_headers(forwarded.headers, kDeadlineMsHeader), 1u);
+  EXPECT_EQ(*io::find_header(forwarded.headers, kExpectInstanceHeader), "i-1");
+  EXPECT_EQ(*io::find_header(forwarded.headers, kRequestIdHeader), "id1");
+  EXPECT_EQ(*io::find_header(forwarded.headers, "X-Other"), "2");
+  EXPECT_EQ(io::find_header(forwarded.headers, "X-Mine"), nullptr);
 }
 
-TEST(PlatformRequests, OnlyAStatementProvesThatNothingRan) {
+TEST(PlatformRequests, OnlyAStatedNotRunCountsAsNotRun) {
   HeaderFormat format;
   using fleet::AttemptResult;
   auto result = [&](int status, io::HeaderFields headers) {
@@ -207,7 +208,7 @@
       AttemptResult::kAnswerLost);
 }
 
-TEST(PlatformRequests, AnswersOfOthersDoNotBelong) {
+TEST(PlatformRequests, ResponsesToOtherRequestsDoNotMatch) {
   HeaderFormat format;
   EXPECT_TRUE(format.matches_request(
       "id1", {200, {{kRequestIdHeader, "id1"}}, "", false}));
@@ -217,36 +218,36 @@
       "id1", {200, {{kResponseStampHeader, "s"}}, "", false}));
 }
 
-TEST(PlatformRequests, RetryAfterIsNamedInSeconds) {
+TEST(PlatformRequests, RetryAfterIsInSeconds) {
   io::HttpResponse answer = HeaderFormat().make_router_response(
       "id1", 503, milliseconds(250), "full");
   EXPECT_EQ(*io::find_header(answer.headers, kRetryAfterHeader), "0.250");
   EXPECT_EQ(io::find_header(answer.headers, kResponseStampHeader), nullptr);
 }
 
-/// Some bytes of a valid text replaced, removed or added.
+/// Replaces, removes or inserts some bytes of a valid text.
 std::string mutated(std::string text, const std::vector<std::uint32_t>& draws) {
   for (std::size_t i = 0; i + 1 < draws.size() && !text.empty(); i += 2) {
-    std::size_t at = draws[i] % text.size();
+    std::size_t position = draws[i] % text.size();
     auto byte = static_cast<char>(draws[i + 1] % 256);
     switch (draws[i + 1] % 3) {
       case 0:
-        text[at] = byte;
+        text[position] = byte;
         break;
       case 1:
-        text.erase(at, 1 + draws[i + 1] % 5);
+        text.erase(position, 1 + draws[i + 1] % 5);
         break;
       default:
-        text.insert(at, 1, byte);
+        text.insert(position, 1, byte);
         break;
     }
   }
   return text;
 }
 
-/// Decoders of changed input neither crash nor accept what breaks their own
-/// rules.
-RC_GTEST_PROP(PlatformFuzz, MutatedInputIsReadOrRefused, ()) {
+/// On mutated input the decoders neither crash nor accept values that violate
+/// their own rules.
+RC_GTEST_PROP(PlatformFuzz, MutatedInputIsDecodedOrRejected, ()) {
   auto draws = *rc::gen::container<std::vector<std::uint32_t>>(
       rc::gen::inRange<std::uint32_t>(0, 100'000));
   auto configuration = read_configuration(mutated(kConfiguration, draws));
@@ -290,7 +291,7 @@
   codec::decode_datagram(mutated(text, draws));
 }
 
-TEST(FleetMessages, MapsWithGapsAreRefused) {
+TEST(FleetMessages, MapsWithGapsAreRejected) {
   fleet::OwnerMap map;
   map.service = ServiceName("b");
   map.ranges = {{fleet::ShardKey(0),
--- a/tests/platform_end_to_end_test.cc
+++ b/tests/platform_end_to_end_test.cc
@@ -12,8 +12,8 @@
 #include "io/http_client.h"
 #include "tests/platform_standin.h"
 
-/// The real program as processes of its own, on loopback, against stand-ins of
-/// the platform.
+/// Runs the real program in separate processes on loopback addresses, with
+/// stand-ins for the platform.
 namespace eelgrasspin::platform {
 namespace {
 
@@ -108,8 +108,8 @@
   }
 
   template <class Done>
-  bool run_until(Done done, Duration limit = seconds(15)) {
-    TimePoint end = io::steady_now() + limit;
+  bool run_until(Done done, Duration timeout = seconds(15)) {
+    TimePoint end = io::steady_now() + timeout;
     while (io::steady_now() < end) {
       if (done()) return true;
       io_.run_for(std::chrono::milliseconds(5));
@@ -161,10 +161,11 @@
         {}};
   }
 
-  bool all_keys_served(const Endpoint& to, const std::string& label) {
+  bool all_keys_served(const Endpoint& to, const std::string& id_prefix) {
     int served = 0;
     for (std::uint32_t key = 0; key < 65'536; key += 8'000) {
-      if (status(to, keyed(label + std::to_string(key), key)) == 200) ++served;
+      if (status(to, keyed(id_prefix + std::to_string(key), key)) == 200)
+        ++served;
     }
     return served == 9;
   }
@@ -196,7 +197,7 @@
   EXPECT_EQ(status(to, {"GET", "/none/", {{"Host", "h"}}, "", {}}), 404);
 }
 
-TEST_F(PlatformEndToEnd, DrainedServersKeysGoToTheOther) {
+TEST_F(PlatformEndToEnd, KeysOfADrainedServerMoveToTheOther) {
   Process process = start(2);
   ASSERT_TRUE(become_ready(process));
   Endpoint to = callers(process);
@@ -223,7 +224,7 @@
   EXPECT_TRUE(run_until([&] { return all_keys_served(callers(second), "b"); }));
 }
 
-TEST_F(PlatformEndToEnd, ServesOnWhileTheStoreIsDown) {
+TEST_F(PlatformEndToEnd, KeepsServingWhileTheStoreIsDown) {
   Process process = start(5);
   ASSERT_TRUE(become_ready(process));
   Endpoint to = callers(process);
@@ -234,7 +235,7 @@
   EXPECT_EQ(status(to, once("post-2")), 200);
 }
 
-TEST_F(PlatformEndToEnd, StopsInGoodOrder) {
+TEST_F(PlatformEndToEnd, StopsGracefully) {
   Process process = start(6);
   ASSERT_TRUE(become_ready(process));
   ::kill(process.pid, SIGTERM);
@@ -250,7 +251,7 @@
   processes_[0].pid = 0;
 }
 
-TEST_F(PlatformEndToEnd, AnsweredMetricsNameTheRequests) {
+TEST_F(PlatformEndToEnd, MetricsCountAnsweredRequests) {
   Process process = start(7);
   ASSERT_TRUE(become_ready(process));
   EXPECT_EQ(status(callers(process), once("post-4")), 200);
--- a/tests/platform_standin.h
+++ b/tests/platform_standin.h
@@ -16,20 +16,20 @@
 #include "io/http_server.h"
 #include "names.h"
 
-/// Stand-ins of the platform for tests on loopback: its store, and backend
+/// Stand-ins for the platform in tests over loopback: its store, and backend
 /// servers that own keys.
 namespace eelgrasspin::platform {
 
 namespace json = boost::json;
 
-/// The store: objects by kind and name, conditional changes, watches.
+/// The store: objects by kind and name, conditional writes, watches.
 class StoreStandin {
  public:
   explicit StoreStandin(boost::asio::io_context& io)
       : io_(io),
         server_(io, {},
                 [this](const std::shared_ptr<io::HttpExchange>& exchange) {
-                  handle(exchange);
+                  handle_request(exchange);
                 }) {
     (void)server_.listen(Endpoint("127.0.0.1:0"));
   }
@@ -37,9 +37,9 @@
   Endpoint endpoint() const { return server_.bound_endpoint(); }
   /// While down, every call is answered 503.
   bool down = false;
-  /// While silent, no call is answered and nothing is done.
+  /// While silent, calls are neither answered nor carried out.
   bool silent = false;
-  /// Changes are made and their answers lost.
+  /// Writes are carried out, but their answers are lost.
   bool loses_answers = false;
 
   void put(const std::string& kind, const std::string& name,
@@ -53,7 +53,7 @@
     ++revision_;
     history_.push_back({kind, revision_, found->second, true});
     objects.erase(found);
-    wake();
+    answer_watches();
   }
   const json::object* find(const std::string& kind, const std::string& name) {
     auto& objects = kinds_[kind];
@@ -68,11 +68,11 @@
     json::object object;
     bool deleted;
   };
-  struct Waiting {
+  struct PendingWatch {
     std::shared_ptr<io::HttpExchange> exchange;
     std::string kind;
     std::uint64_t since;
-    std::shared_ptr<boost::asio::steady_timer> limit;
+    std::shared_ptr<boost::asio::steady_timer> wait_timer;
   };
 
   void store(const std::string& kind, const std::string& name,
@@ -84,7 +84,7 @@
         {"status", nullptr}};
     kinds_[kind][name] = object;
     history_.push_back({kind, revision_, object, false});
-    wake();
+    answer_watches();
   }
 
   static void answer(io::HttpExchange& exchange, int status,
@@ -94,7 +94,7 @@
                      json::serialize(body)});
   }
 
-  void handle(const std::shared_ptr<io::HttpExchange>& exchange) {
+  void handle_request(const std::shared_ptr<io::HttpExchange>& exchange) {
     const io::HttpRequest& request = exchange->request();
     if (down) return answer(*exchange, 503, json::object{});
     if (silent) {
@@ -103,10 +103,10 @@
     }
     if (loses_answers && exchange->request().method != "GET") {
       unanswered_.push_back(exchange);
-      change_unanswered(*exchange);
+      apply_unanswered_change(*exchange);
       return;
     }
-    auto [kind, name] = target_of(request);
+    auto [kind, name] = parse_target(request);
     if (request.method == "GET" && !name.empty()) {
       const json::object* object = find(kind, name);
       return object == nullptr ? answer(*exchange, 404, json::object{})
@@ -133,7 +133,7 @@
     std::string kind;
     std::string name;
   };
-  static Target target_of(const io::HttpRequest& request) {
+  static Target parse_target(const io::HttpRequest& request) {
     std::string path(io::path_of(request.target));
     std::string rest = path.substr(std::string("/objects/").size());
     std::size_t slash = rest.find('/');
@@ -141,8 +141,8 @@
     return {rest.substr(0, slash), rest.substr(slash + 1)};
   }
 
-  void change_unanswered(io::HttpExchange& exchange) {
-    Target target = target_of(exchange.request());
+  void apply_unanswered_change(io::HttpExchange& exchange) {
+    Target target = parse_target(exchange.request());
     (void)apply_change(exchange.request(), target.kind, target.name);
   }
 
@@ -159,68 +159,68 @@
     const json::object& metadata = body.at("metadata").as_object();
     bool create = request.method == "POST";
     if (create) name = std::string(metadata.at("name").as_string());
-    const json::object* present = find(kind, name);
-    if (!create && present == nullptr) return {404, json::object{}};
+    const json::object* current = find(kind, name);
+    if (!create && current == nullptr) return {404, json::object{}};
     const json::value* expected = metadata.if_contains("rev");
     bool conflict =
-        create ? present != nullptr
+        create ? current != nullptr
                : expected != nullptr && expected->to_number<std::uint64_t>() !=
-                                            present->at("metadata")
+                                            current->at("metadata")
                                                 .at("rev")
                                                 .to_number<std::uint64_t>();
-    if (conflict) return {409, *present};
+    if (conflict) return {409, *current};
     store(kind, name, body.at("spec"));
     return {200, *find(kind, name)};
   }
 
   void watch(const std::shared_ptr<io::HttpExchange>& exchange,
              const std::string& kind, std::uint64_t since) {
-    auto limit = std::make_shared<boost::asio::steady_timer>(io_);
-    waiting_.push_back({exchange, kind, since, limit});
-    limit->expires_after(std::chrono::seconds(1));
-    limit->async_wait([this, exchange](boost::system::error_code failed) {
+    auto wait_timer = std::make_shared<boost::asio::steady_timer>(io_);
+    pending_watches_.push_back({exchange, kind, since, wait_timer});
+    wait_timer->expires_after(std::chrono::seconds(1));
+    wait_timer->async_wait([this, exchange](boost::system::error_code failed) {
       if (failed) return;
-      std::erase_if(waiting_, [&](const Waiting& waiting) {
-        return waiting.exchange == exchange;
+      std::erase_if(pending_watches_, [&](const PendingWatch& pending) {
+        return pending.exchange == exchange;
       });
       answer(*exchange, 200,
              json::object{{"events", json::array{}}, {"asOf", revision_}});
     });
-    wake();
+    answer_watches();
   }
 
-  void wake() {
-    std::vector<Waiting> still;
-    for (Waiting& waiting : waiting_) {
+  void answer_watches() {
+    std::vector<PendingWatch> still_pending;
+    for (PendingWatch& pending : pending_watches_) {
       json::array events;
       for (const Change& change : history_) {
-        if (change.kind != waiting.kind || change.revision <= waiting.since) {
+        if (change.kind != pending.kind || change.revision <= pending.since) {
           continue;
         }
         events.push_back(json::object{{"object", change.object},
                                       {"deleted", change.deleted}});
       }
       if (events.empty()) {
-        still.push_back(waiting);
+        still_pending.push_back(pending);
         continue;
       }
-      waiting.limit->cancel();
-      answer(*waiting.exchange, 200,
+      pending.wait_timer->cancel();
+      answer(*pending.exchange, 200,
              json::object{{"events", std::move(events)}, {"asOf", revision_}});
     }
-    waiting_ = std::move(still);
+    pending_watches_ = std::move(still_pending);
   }
 
   boost::asio::io_context& io_;
   std::map<std::string, std::map<std::string, json::object>> kinds_;
   std::vector<Change> history_;
-  std::vector<Waiting> waiting_;
+  std::vector<PendingWatch> pending_watches_;
   std::vector<std::shared_ptr<io::HttpExchange>> unanswered_;
   std::uint64_t revision_ = 10;
   io::HttpServer server_;
 };
 
-/// One run of a request at a backend server.
+/// One execution of a request by a backend server.
 struct ServerRun {
   std::string id;
   std::string server;
@@ -228,11 +228,12 @@
   TimePoint at;
 };
 
-/// A backend server that runs each request for `work` and holds keys by grants.
+/// A backend server that works on each request for `work` and holds keys under
+/// grants.
 class ServerStandin {
  public:
   ServerStandin(boost::asio::io_context& io, std::string name, bool keyed)
-      : io_(io), name_(std::move(name)), keyed_(keyed), keys_(kKeys) {
+      : io_(io), name_(std::move(name)), keyed_(keyed), keys_(kKeyCount) {
     listen();
   }
 
@@ -249,14 +250,14 @@
          json::object{{"state", state}, {"seq", 1}, {"coldLeftS", 0}}}});
   }
   const std::string& name() const { return name_; }
-  /// Where it listens; its entry names `address` instead if that is set.
+  /// Endpoint it listens on. Its entry names `address` instead if that is set.
   Endpoint endpoint() const { return endpoint_; }
   Endpoint address;
   Duration work{0};
-  /// Requests that ran, by their ids.
+  /// Ids of the requests that ran.
   std::vector<std::string> ran;
   std::function<void(const ServerRun&)> on_run;
-  /// Told before a grant is carried out.
+  /// Called before a grant is carried out.
   std::function<void(std::uint32_t first, std::uint32_t last,
                      std::uint64_t epoch)>
       on_grant;
@@ -265,24 +266,24 @@
   bool holds(std::uint32_t key) const {
     return up() && keys_[key].until > io::steady_now();
   }
-  /// The highest epoch that this life has seen for the key.
+  /// The highest epoch that this incarnation has seen for the key.
   std::uint64_t epoch(std::uint32_t key) const { return keys_[key].epoch; }
-  /// Ends without a word: connections break, nothing is held any more.
+  /// Ends abruptly: connections break and all keys are lost.
   void crash() {
     if (server_) server_->close();
     server_.reset();
-    keys_.assign(kKeys, {});
+    keys_.assign(kKeyCount, {});
   }
-  /// Starts again at the same address, as another life.
+  /// Starts again at the same address, as a new incarnation.
   void start() {
     ++born_;
     listen();
   }
 
  private:
-  static constexpr std::uint32_t kKeys = 65'536;
-  /// Its clock is as slow as a server's may be.
-  static constexpr double kClock = 1.02;
+  static constexpr std::uint32_t kKeyCount = 65'536;
+  /// Holds last longer by this factor: a server's clock may be this slow.
+  static constexpr double kClockRate = 1.02;
   struct Key {
     std::uint64_t epoch = 0;
     TimePoint until;
@@ -292,14 +293,14 @@
     server_ = std::make_unique<io::HttpServer>(
         io_, io::HttpServerOptions{},
         [this](const std::shared_ptr<io::HttpExchange>& exchange) {
-          handle(exchange);
+          handle_request(exchange);
         });
     (void)server_->listen(endpoint_.empty() ? Endpoint("127.0.0.1:0")
                                             : endpoint_);
     endpoint_ = server_->bound_endpoint();
   }
 
-  void order(io::HttpExchange& exchange, bool grant) {
+  void handle_order(io::HttpExchange& exchange, bool grant) {
     json::object body = json::parse(exchange.request().body).as_object();
     auto first = body.at("from").to_number<std::uint32_t>();
     auto last = body.at("to").to_number<std::uint32_t>();
@@ -310,9 +311,9 @@
     TimePoint until;
     if (grant) {
       if (on_grant) on_grant(first, last, epoch);
-      double held = body.at("holdS").to_number<double>() * kClock;
+      double hold_seconds = body.at("holdS").to_number<double>() * kClockRate;
       until = io::steady_now() +
-              Duration(static_cast<Duration::rep>(held * 1'000'000));
+              Duration(static_cast<Duration::rep>(hold_seconds * 1'000'000));
     }
     for (std::uint32_t key = first; key <= last; ++key) {
       keys_[key] = {std::max(keys_[key].epoch, epoch), until};
@@ -322,17 +323,18 @@
     exchange.answer({200, headers, "{}"});
   }
 
-  void handle(const std::shared_ptr<io::HttpExchange>& exchange) {
+  void handle_request(const std::shared_ptr<io::HttpExchange>& exchange) {
     const io::HttpRequest& request = exchange->request();
-    if (request.target == "/grant") return order(*exchange, true);
-    if (request.target == "/release") return order(*exchange, false);
+    if (request.target == "/grant") return handle_order(*exchange, true);
+    if (request.target == "/release") return handle_order(*exchange, false);
     const std::string* id = io::find_header(request.headers, kRequestIdHeader);
     const std::string* expected =
         io::find_header(request.headers, kExpectInstanceHeader);
     auto key = io::number_header(request.headers, kShardKeyHeader);
-    bool wrong = expected == nullptr || *expected != name_ ||
-                 (keyed_ && (!key || !holds(static_cast<std::uint32_t>(*key))));
-    if (wrong || id == nullptr) {
+    bool misdirected =
+        expected == nullptr || *expected != name_ ||
+        (keyed_ && (!key || !holds(static_cast<std::uint32_t>(*key))));
+    if (misdirected || id == nullptr) {
       return exchange->answer({421, {{kNotRunHeader, "1"}}, ""});
     }
     ran.push_back(*id);
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -57,22 +57,22 @@
   auto conflict = std::get<StoreConflict>(write(Version(0), lease(2)));
   EXPECT_EQ(conflict.current.version, written.version);
   EXPECT_EQ(std::get<CoordinatorLease>(conflict.current.record), lease(1));
-  auto again = std::get<StoreWritten>(write(written.version, lease(2)));
+  auto rewritten = std::get<StoreWritten>(write(written.version, lease(2)));
   auto present = std::get<StoreRead>(read());
-  EXPECT_EQ(present.entries.at(0).version, again.version);
+  EXPECT_EQ(present.entries.at(0).version, rewritten.version);
   EXPECT_EQ(std::get<CoordinatorLease>(present.entries.at(0).record), lease(2));
 }
 
-TEST_F(PlatformTest, WatchTellsChangesAndDeletions) {
+TEST_F(PlatformTest, WatchReturnsChangesAndDeletions) {
   auto written = std::get<StoreWritten>(write(Version(0), lease(1)));
-  std::optional<StoreResult> told;
+  std::optional<StoreResult> watch_result;
   store_->watch(live_prefix(), written.version, seconds(10),
-                [&](StoreResult answer) { told = std::move(answer); });
+                [&](StoreResult answer) { watch_result = std::move(answer); });
   run_for(io_, std::chrono::milliseconds(20));
-  EXPECT_FALSE(told);
+  EXPECT_FALSE(watch_result);
   write(written.version, std::monostate());
-  ASSERT_TRUE(run_until(io_, [&] { return told.has_value(); }));
-  auto change = std::get<StoreRead>(*told);
+  ASSERT_TRUE(run_until(io_, [&] { return watch_result.has_value(); }));
+  auto change = std::get<StoreRead>(*watch_result);
   ASSERT_EQ(change.entries.size(), 1U);
   EXPECT_TRUE(std::holds_alternative<std::monostate>(change.entries[0].record));
   EXPECT_GT(change.entries[0].version, written.version);
@@ -84,7 +84,7 @@
   EXPECT_EQ(empty.revision, change.revision);
 }
 
-TEST_F(PlatformTest, LostAnswerAndOutageAreUnavailable) {
+TEST_F(PlatformTest, LostAnswersAndOutagesAreUnavailable) {
   platform_.lose_answers(1);
   EXPECT_TRUE(
       std::holds_alternative<StoreUnavailable>(write(Version(0), lease(1))));
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -18,7 +18,7 @@
     for (int i = 1; i <= daemons; ++i) {
       cluster_.add_daemon("gongoni-" + std::to_string(i));
     }
-    ASSERT_TRUE(cluster_.serve());
+    ASSERT_TRUE(cluster_.apply_and_wait_until_served());
   }
 
   IoCluster cluster_;
@@ -26,7 +26,7 @@
 
 const standin::ServerOptions kQuick{.concurrency = 4, .work = milliseconds(1)};
 
-TEST_F(ShellTest, AnyDaemonGivesTheOwnersWholeAnswer) {
+TEST_F(ShellTest, AnyDaemonRelaysTheOwnersCompleteAnswer) {
   start(2, kQuick);
   for (int key = 0; key < 24; ++key) {
     std::string name = "pan-" + std::to_string(key);
@@ -45,18 +45,19 @@
 
 TEST_F(ShellTest, OwnerCommandNamesTheServerThatAnswers) {
   start(1, kQuick);
-  io::HttpResponse told =
+  io::HttpResponse owner_reply =
       cluster_.command(cluster_.daemon(0), "owner of panboard \"pan-3\"");
-  ASSERT_EQ(told.status, 200) << told.body;
+  ASSERT_EQ(owner_reply.status, 200) << owner_reply.body;
   io::HttpResponse answer = cluster_.answer(cluster_.daemon(0).callers(),
                                             IoCluster::read_pan("pan-3"));
   std::string server = answer.body.find("panboard-01") != std::string::npos
                            ? "panboard-01"
                            : "panboard-02";
-  EXPECT_NE(told.body.find(server), std::string::npos) << told.body;
+  EXPECT_NE(owner_reply.body.find(server), std::string::npos)
+      << owner_reply.body;
 }
 
-TEST_F(ShellTest, RefusalsSayNotRunAndWhy) {
+TEST_F(ShellTest, RefusalsReportNotRun) {
   start(1, kQuick);
   std::size_t before = cluster_.executions();
   io::Shell& daemon = cluster_.daemon(0);
@@ -73,7 +74,7 @@
   EXPECT_EQ(cluster_.executions(), before);
 }
 
-TEST_F(ShellTest, CallerWhoLeavesHasTheWorkGivenUp) {
+TEST_F(ShellTest, DisconnectOfTheCallerAbortsTheWork) {
   start(2, kQuick);
   cluster_.server(0).set_work(milliseconds(350));
   cluster_.server(1).set_work(milliseconds(350));
@@ -97,7 +98,7 @@
   EXPECT_TRUE(run_until(cluster_.io(), [&] { return aborted() == 2; }));
 }
 
-TEST_F(ShellTest, SilentServerConnectionsServeACallerWithTwoSeconds) {
+TEST_F(ShellTest, CallersAreServedWithinTwoSecondsIfServerConnectionsStall) {
   start(1, kQuick);
   cluster_.server(0).stall_connections();
   cluster_.server(1).stall_connections();
@@ -109,7 +110,7 @@
   }
 }
 
-TEST_F(ShellTest, SilentDaemonConnectionsServeACallerWithTwoSeconds) {
+TEST_F(ShellTest, CallersAreServedWithinTwoSecondsIfDaemonConnectionsStall) {
   start(2, kQuick);
   cluster_.daemon(0).transport().stall_connections();
   for (int daemon = 0; daemon < 2; ++daemon) {
@@ -122,7 +123,7 @@
   }
 }
 
-TEST_F(ShellTest, GracefulStopCutsOffNothing) {
+TEST_F(ShellTest, GracefulStopFinishesOpenRequests) {
   start(2, kQuick);
   cluster_.server(0).set_work(milliseconds(200));
   cluster_.server(1).set_work(milliseconds(200));
@@ -145,7 +146,7 @@
   EXPECT_TRUE(cluster_.served(cluster_.daemon(1), "pan-1"));
 }
 
-TEST_F(ShellTest, ClosedSocketsOfADeadDaemonAreSurvived) {
+TEST_F(ShellTest, OtherDaemonServesAllKeysAfterOneCloses) {
   start(2, kQuick);
   cluster_.daemon(0).close();
   for (int key = 0; key < 24; ++key) {
@@ -154,7 +155,7 @@
   }
 }
 
-TEST_F(ShellTest, OperatorsPortRefusesWithoutAToken) {
+TEST_F(ShellTest, OperatorPortRefusesWithoutAToken) {
   io::Shell& daemon = cluster_.add_daemon("gongoni-1");
   io::HttpRequest request{"POST", "/command", {}, "show services", {}};
   EXPECT_EQ(cluster_.answer(daemon.operators(), request).status, 401);
@@ -172,7 +173,7 @@
             std::string::npos);
 }
 
-TEST_F(ShellTest, PortInUseStartsNothing) {
+TEST_F(ShellTest, PortInUseFailsToBind) {
   io::Shell& first = cluster_.add_daemon("gongoni-1");
   config::Settings settings;
   settings.name = DaemonName("gongoni-2");
--- a/tests/store_feed_test.cc
+++ b/tests/store_feed_test.cc
@@ -69,28 +69,28 @@
   StoreFeed feed_;
 };
 
-/// A store that does not answer is asked with short waits, so that its return
-/// is not hidden by a watch that hangs.
-TEST_F(StoreFeedTest, WatchesAreShortWhileTheStoreIsSilent) {
+/// While the store does not answer, watches wait only briefly, so that a
+/// stalled watch does not hide its return.
+TEST_F(StoreFeedTest, WatchesAreShortWhileTheStoreDoesNotAnswer) {
   run_until_watches(1);
-  Duration usual = watches_[0].wait;
+  Duration usual_wait = watches_[0].wait;
   watches_[0].done(StoreFailure{StoreFailureKind::kNoAnswer, "silent"});
   run_until_watches(2);
   EXPECT_LE(watches_[1].wait, milliseconds(100));
   EXPECT_EQ(watches_[1].since, Version(5));
   watches_[1].done(ObjectPage{{}, false, Version(5)});
   run_until_watches(3);
-  EXPECT_EQ(watches_[2].wait, usual);
+  EXPECT_EQ(watches_[2].wait, usual_wait);
 }
 
-/// Three seconds after connections went silent, changes have to be seen: a
-/// watch waits less than that.
-TEST_F(StoreFeedTest, SilentWatchesEndWithinThreeSeconds) {
+/// Changes must be received within three seconds after connections have
+/// stalled, so a watch must wait less than that.
+TEST_F(StoreFeedTest, WatchesWaitLessThanThreeSeconds) {
   run_until_watches(1);
   EXPECT_LE(watches_[0].wait, milliseconds(2200));
 }
 
-TEST_F(StoreFeedTest, HistoryThatIsGoneIsListedAnew) {
+TEST_F(StoreFeedTest, GoneHistoryIsListedAgain) {
   run_until_watches(1);
   EXPECT_CALL(store_, list(ObjectKind::kConfiguration, _, _))
       .WillOnce([](ObjectKind, const std::string&,
--- a/tests/transport_h2_test.cc
+++ b/tests/transport_h2_test.cc
@@ -20,7 +20,7 @@
                 },
                 [this](const std::shared_ptr<io::InboundRequest>& inbound) {
                   inbound_.push_back(inbound);
-                  inbound->on_abandoned([this] { ++gone_; });
+                  inbound->on_abandoned([this] { ++abandoned_; });
                 }})),
         entry_(io_, DaemonName("gongoni-1"), {}) {
     EXPECT_FALSE(front_->listen(kAnyPort));
@@ -70,7 +70,7 @@
   std::vector<PeerMessage> messages_;
   std::vector<std::shared_ptr<io::InboundRequest>> inbound_;
   std::map<AttemptId, AttemptReply> replies_;
-  int gone_ = 0;
+  int abandoned_ = 0;
   std::uint64_t attempts_ = 0;
   std::unique_ptr<io::TransportH2> front_;
   io::TransportH2 entry_;
@@ -84,7 +84,7 @@
   EXPECT_EQ(std::get<PeerHello>(messages_[0]), hello);
 }
 
-TEST_F(TransportTest, CarriesARequestAndItsWholeAnswer) {
+TEST_F(TransportTest, CarriesARequestAndItsCompleteAnswer) {
   AttemptId attempt = forward(request());
   ASSERT_TRUE(wait_inbound(1));
   const RequestHead& head = inbound_[0]->head();
@@ -122,7 +122,7 @@
   AttemptId attempt = forward(request());
   ASSERT_TRUE(wait_inbound(1));
   entry_.cancel(attempt);
-  EXPECT_TRUE(run_until(io_, [&] { return gone_ == 1; }));
+  EXPECT_TRUE(run_until(io_, [&] { return abandoned_ == 1; }));
   EXPECT_TRUE(replies_.empty());
 }
 
@@ -141,17 +141,18 @@
   EXPECT_EQ(not_run.reason, Reason::kOwnerUnreachable);
 }
 
-TEST_F(TransportTest, SilentConnectionIsAbandonedAndAFreshOneWorks) {
+TEST_F(TransportTest, StalledConnectionIsAbandonedAndANewOneWorks) {
   AttemptId first = forward(request());
   ASSERT_TRUE(wait_inbound(1));
   front_->stall_connections();
-  AttemptId silent = forward(request());
-  EXPECT_TRUE(std::holds_alternative<AttemptUnknown>(wait_reply(silent)));
+  AttemptId stalled = forward(request());
+  EXPECT_TRUE(std::holds_alternative<AttemptUnknown>(wait_reply(stalled)));
   EXPECT_TRUE(std::holds_alternative<AttemptUnknown>(wait_reply(first)));
-  AttemptId fresh = forward(request());
+  AttemptId on_new_connection = forward(request());
   ASSERT_TRUE(wait_inbound(2));
   inbound_[1]->answer(200, {});
-  EXPECT_TRUE(std::holds_alternative<AttemptAnswered>(wait_reply(fresh)));
+  EXPECT_TRUE(
+      std::holds_alternative<AttemptAnswered>(wait_reply(on_new_connection)));
 }
 
 TEST_F(TransportTest, StoppingDaemonFinishesOpenStreamsAndRefusesNewOnes) {
