--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -80,7 +80,7 @@
     return "Transfer-Encoding other than chunked";
   }
   if (encoding_count > 0 && head.version() < 11) {
-    return "Transfer-Encoding before HTTP/1.1";
+    return "Transfer-Encoding in an old HTTP version";
   }
   if (head.count(http::field::host) > 1) return "repeated Host";
   if (!head.target().starts_with('/')) return "target is not a path";
@@ -203,7 +203,7 @@
   void on_timeout() {
     if (timer_.expiry() > std::chrono::steady_clock::now()) return;
     if (receiving_) {
-      refuse(408, "request was not received in time");
+      refuse(408, "request took too long to arrive");
     } else if (exchanges_.empty() || writing_) {
       close();
     }
@@ -281,7 +281,7 @@
     if (failed) return refuse(refusal_status(failed), failed.message());
     if (parser_->is_done()) return dispatch();
     if (buffer_.size() >= buffer_.max_size()) {
-      return refuse(431, "request header too large");
+      return refuse(431, "header too large");
     }
     read_more();
   }
--- a/src/io/operator_http.cc
+++ b/src/io/operator_http.cc
@@ -112,7 +112,7 @@
   auto name = authenticate(request.headers, tokens_);
   if (!name) {
     HttpResponse unauthorized =
-        text_response(401, "an operator's bearer token is required\n");
+        text_response(401, "a named operator's token is needed\n");
     unauthorized.headers.emplace_back("WWW-Authenticate", "Bearer");
     return exchange->answer(std::move(unauthorized));
   }
@@ -146,8 +146,7 @@
   const std::string* id =
       find_header(request.headers, "eelgrasspin-command-id");
   if (id != nullptr && (id->empty() || id->size() > kMaxCommandIdBytes)) {
-    return exchange->answer(
-        text_response(400, "command id is empty or too long\n"));
+    return exchange->answer(text_response(400, "unusable command id\n"));
   }
   OperatorCommand command{
       name,
