--- a/src/scenario/checks.cc
+++ b/src/scenario/checks.cc
@@ -69,7 +69,7 @@
 }
 
 void check_executions(World& world) {
-  std::map<Serial, std::uint32_t> runs;
+  std::map<RequestSerial, std::uint32_t> runs;
   std::map<std::string, std::uint32_t> by_idempotency_key;
   for (const Execution& execution : world.executions) {
     ++runs[execution.serial];
--- a/src/scenario/matrix.cc
+++ b/src/scenario/matrix.cc
@@ -45,7 +45,8 @@
       head.idempotency_key =
           name.str() + "-" + operation.name + "-" + std::to_string(round);
       head.body_hash = round;
-      Serial serial = send_request(world, live_daemon(world, round), head);
+      RequestSerial serial =
+          send_request(world, live_daemon(world, round), head);
       world.requests.at(serial).execution_class = operation.execution_class;
     }
   }
--- a/src/scenario/world.cc
+++ b/src/scenario/world.cc
@@ -188,9 +188,9 @@
   world.cut_from_store.clear();
 }
 
-Serial send_request(World& world, const DaemonName& entry,
-                    const RequestHead& head, bool poison) {
-  Serial serial = world.next_serial++;
+RequestSerial send_request(World& world, const DaemonName& entry,
+                           const RequestHead& head, bool poison) {
+  RequestSerial serial = world.next_serial++;
   CallerRequest& request = world.requests[serial];
   request = {.serial = serial,
              .head = head,
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -42,7 +42,7 @@
 };
 
 /// Identity of one caller's request over all daemons.
-using Serial = std::uint64_t;
+using RequestSerial = std::uint64_t;
 
 struct Daemon {
   core::State state;
@@ -53,7 +53,7 @@
   Duration clock_offset{0};
   std::deque<core::Event> inbox;  ///< Arrived during a pause.
   std::uint64_t next_request = 1;
-  std::map<RequestId, Serial> serials;
+  std::map<RequestId, RequestSerial> serials;
   struct Origin {
     DaemonName daemon;
     std::uint64_t run = 0;
@@ -71,13 +71,14 @@
   };
   std::map<AttemptId, Forward> forwards;
   std::map<AttemptId, ServerName> at_servers;
-  std::map<AttemptId, Serial> answers;  ///< Whose answer an attempt brought.
+  std::map<AttemptId, RequestSerial>
+      answers;  ///< Whose answer an attempt brought.
   Version declarations_seen;
 };
 
 /// One execution of a request on a backend server.
 struct Execution {
-  Serial serial = 0;
+  RequestSerial serial = 0;
   ServerName server;
   SlotId slot;
   Key key;
@@ -91,7 +92,7 @@
 /// A request on its way to, or at, a backend server.
 struct ServerWork {
   core::SendToServer effect;
-  Serial serial = 0;
+  RequestSerial serial = 0;
   DaemonName front;
   std::uint64_t front_run = 0;
 };
@@ -122,7 +123,7 @@
 
 /// A caller's request and how it ended.
 struct CallerRequest {
-  Serial serial = 0;
+  RequestSerial serial = 0;
   RequestHead head;
   DaemonName entry;
   Duration sent{0};
@@ -131,7 +132,7 @@
   std::optional<Outcome>
       outcome;  ///< Empty: no end was seen (its daemon was lost).
   Reason reason = Reason::kNone;
-  Serial answer_of = 0;
+  RequestSerial answer_of = 0;
   ExecutionClass execution_class = ExecutionClass::kRead;
   bool poison = false;  ///< Crashes a server that runs it.
 };
@@ -183,8 +184,8 @@
   MessageFaults message_faults;
   bool servers_fence = true;  ///< Servers refuse lower front epochs; switched
                               ///< off to show that the checks can fail.
-  std::map<Serial, CallerRequest> requests;
-  Serial next_serial = 1;
+  std::map<RequestSerial, CallerRequest> requests;
+  RequestSerial next_serial = 1;
   std::vector<Execution> executions;
   std::vector<TimelineEvent> timeline;
   std::map<OperatorCallId, CommandAnswer> operator_answers;
@@ -241,8 +242,8 @@
 void put_declarations(World& world, const Declarations& declarations);
 
 // Callers and operators.
-Serial send_request(World& world, const DaemonName& entry,
-                    const RequestHead& head, bool poison = false);
+RequestSerial send_request(World& world, const DaemonName& entry,
+                           const RequestHead& head, bool poison = false);
 OperatorCallId send_command(World& world, const DaemonName& daemon,
                             const OperatorName& operator_name,
                             const CommandId& id, Command command);
--- a/src/scenario/world_daemon.cc
+++ b/src/scenario/world_daemon.cc
@@ -66,7 +66,7 @@
          config::kPingInterval + config::kPingTimeout);
     return;
   }
-  Serial serial = here.serials[effect.request];
+  RequestSerial serial = here.serials[effect.request];
   RequestId id(it->second.next_request++);
   here.forwards[effect.attempt] = {to, it->second.run, id};
   RequestHead head = world.requests.at(serial).head;
@@ -91,7 +91,7 @@
 
 /// Takes the end of a forwarded request back to the daemon that sent it.
 void answer_origin(World& world, Daemon& daemon, RequestId request,
-                   const AttemptResult& result, Serial answer_of) {
+                   const AttemptResult& result, RequestSerial answer_of) {
   Daemon::Origin origin = daemon.origins.at(request);
   daemon.origins.erase(request);
   daemon.serials.erase(request);
@@ -111,7 +111,7 @@
 }
 
 void end_caller(World& world, Daemon& daemon, RequestId id, Outcome outcome,
-                Reason reason, Serial answer_of) {
+                Reason reason, RequestSerial answer_of) {
   auto it = daemon.serials.find(id);
   if (daemon.cancelled.erase(id) > 0) return;
   if (it == daemon.serials.end()) {
@@ -129,7 +129,7 @@
 
 void relay_answer(World& world, Daemon& daemon,
                   const core::RelayAnswer& effect) {
-  Serial answer_of = daemon.answers[effect.attempt];
+  RequestSerial answer_of = daemon.answers[effect.attempt];
   daemon.answers.erase(effect.attempt);
   if (daemon.origins.contains(effect.request)) {
     answer_origin(world, daemon, effect.request, AttemptAnswered{200, 64},
--- a/src/scenario/world_p.h
+++ b/src/scenario/world_p.h
@@ -27,7 +27,7 @@
 void server_order(World& world, const DaemonName& daemon,
                   const core::SendGrant& effect);
 void server_run(World& world, const DaemonName& daemon,
-                const core::SendToServer& effect, Serial serial);
+                const core::SendToServer& effect, RequestSerial serial);
 void server_cancel(World& world, const ServerName& server,
                    const DaemonName& daemon, AttemptId attempt);
 void cancel_forward(World& world, const Daemon::Forward& forward,
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -14,22 +14,25 @@
 using fixtures::make_head;
 using fixtures::make_started_world;
 using fixtures::outcome_of;
+using scenario::RequestSerial;
 using scenario::run_for;
 using scenario::send_request;
-using scenario::Serial;
 using scenario::World;
 
 TEST(AtMostOnce, RepeatsThroughAnyDaemonRunOnce) {
   World world = make_started_world(make_declarations(1));
-  Serial first = send_request(world, kDaemons[0], make_head("POST", 1, "a"));
+  RequestSerial first =
+      send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, first), "answered");
   for (const DaemonName& daemon : kDaemons) {
-    Serial again = send_request(world, daemon, make_head("POST", 1, "a"));
+    RequestSerial again =
+        send_request(world, daemon, make_head("POST", 1, "a"));
     run_for(world, seconds(2));
     EXPECT_EQ(outcome_of(world, again), "not run: repeat_answered");
   }
-  Serial other = send_request(world, kDaemons[1], make_head("POST", 1, "a", 9));
+  RequestSerial other =
+      send_request(world, kDaemons[1], make_head("POST", 1, "a", 9));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, other), "not run: idempotency_key_invalid");
   EXPECT_EQ(executions_of(world, "a"), 1U);
@@ -38,13 +41,13 @@
 
 TEST(AtMostOnce, RepeatsAtTheSameTimeRunOnce) {
   World world = make_started_world(make_declarations(1));
-  std::vector<Serial> serials;
+  std::vector<RequestSerial> serials;
   serials.reserve(kDaemons.size());
   for (const DaemonName& daemon : kDaemons)
     serials.push_back(send_request(world, daemon, make_head("POST", 1, "a")));
   run_for(world, seconds(2));
   int answered = 0;
-  for (Serial serial : serials)
+  for (RequestSerial serial : serials)
     answered += outcome_of(world, serial) == "answered" ? 1 : 0;
   EXPECT_EQ(answered, 1);
   EXPECT_EQ(executions_of(world, "a"), 1U);
@@ -63,7 +66,8 @@
   run_for(world, seconds(5));
   for (const DaemonName& daemon : kDaemons) start_daemon(world, daemon);
   run_for(world, seconds(30));
-  Serial again = send_request(world, kDaemons[2], make_head("POST", 1, "a"));
+  RequestSerial again =
+      send_request(world, kDaemons[2], make_head("POST", 1, "a"));
   run_for(world, seconds(3));
   executions = executions_of(world, "a");
   return outcome_of(world, again);
@@ -87,14 +91,16 @@
 TEST(AtMostOnce, IsRefusedAsNotRunWhileTheStoreIsDown) {
   World world = make_started_world(make_declarations(1));
   store_down(world);
-  Serial lodged = send_request(world, kDaemons[0], make_head("POST", 1, "a"));
-  Serial read = send_request(world, kDaemons[0], make_head("GET", 1));
+  RequestSerial lodged =
+      send_request(world, kDaemons[0], make_head("POST", 1, "a"));
+  RequestSerial read = send_request(world, kDaemons[0], make_head("GET", 1));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, lodged), "not run: intent_not_recorded");
   EXPECT_EQ(outcome_of(world, read), "answered");
   store_up(world);
   run_for(world, seconds(10));
-  Serial again = send_request(world, kDaemons[0], make_head("POST", 1, "a"));
+  RequestSerial again =
+      send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, again), "answered");
   expect_no_violations(world);
@@ -103,9 +109,11 @@
 TEST(AtMostOnce, ALostStoreAnswerIsSettledBeforeTheSend) {
   World world = make_started_world(make_declarations(1));
   world.store.lose_answers = 2;
-  Serial lodged = send_request(world, kDaemons[0], make_head("POST", 1, "a"));
+  RequestSerial lodged =
+      send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, seconds(2));
-  Serial again = send_request(world, kDaemons[0], make_head("POST", 1, "a"));
+  RequestSerial again =
+      send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, seconds(3));
   EXPECT_LE(executions_of(world, "a"), 1U);
   EXPECT_NE(outcome_of(world, lodged), "open");
@@ -118,7 +126,7 @@
   for (Duration interval : {milliseconds(20), milliseconds(1)}) {
     World world = make_started_world(make_declarations(8));
     std::uint64_t before = world.store.writes;
-    std::vector<Serial> serials;
+    std::vector<RequestSerial> serials;
     constexpr int kOperations = 1000;
     for (int i = 0; i < kOperations; ++i) {
       serials.push_back(send_request(world, kDaemons[i % 4],
@@ -129,7 +137,7 @@
     std::uint64_t writes = world.store.writes - before;
     std::map<std::string, int> outcomes;
     std::vector<Duration> latencies;
-    for (Serial serial : serials) {
+    for (RequestSerial serial : serials) {
       ++outcomes[outcome_of(world, serial)];
       const auto& request = world.requests.at(serial);
       latencies.push_back(request.ended - request.sent);
--- a/tests/front_queue_test.cc
+++ b/tests/front_queue_test.cc
@@ -12,15 +12,16 @@
 using fixtures::make_head;
 using fixtures::make_started_world;
 using fixtures::outcome_of;
+using scenario::RequestSerial;
 using scenario::run_for;
 using scenario::send_request;
-using scenario::Serial;
 using scenario::World;
 
-int count_outcomes(const World& world, const std::vector<Serial>& serials,
+int count_outcomes(const World& world,
+                   const std::vector<RequestSerial>& serials,
                    const std::string& outcome) {
   int count = 0;
-  for (Serial serial : serials)
+  for (RequestSerial serial : serials)
     count += outcome_of(world, serial) == outcome ? 1 : 0;
   return count;
 }
@@ -31,9 +32,9 @@
   return world;
 }
 
-std::vector<Serial> send_many(World& world, const std::string& caller,
-                              int count) {
-  std::vector<Serial> serials;
+std::vector<RequestSerial> send_many(World& world, const std::string& caller,
+                                     int count) {
+  std::vector<RequestSerial> serials;
   for (int i = 0; i < count; ++i) {
     RequestHead head = make_head("GET", 1, "", static_cast<std::uint64_t>(i));
     head.caller = CallerName(caller);
@@ -44,9 +45,9 @@
 
 TEST(FrontQueue, ServesCallersInTurn) {
   World world = make_slow_world(milliseconds(50));
-  std::vector<Serial> buyer_requests = send_many(world, "buyer", 40);
+  std::vector<RequestSerial> buyer_requests = send_many(world, "buyer", 40);
   run_for(world, milliseconds(10));
-  std::vector<Serial> foreman_requests = send_many(world, "foreman", 4);
+  std::vector<RequestSerial> foreman_requests = send_many(world, "foreman", 4);
   run_for(world, milliseconds(300));
   EXPECT_EQ(count_outcomes(world, foreman_requests, "answered"), 4);
   EXPECT_LT(count_outcomes(world, buyer_requests, "answered"), 12);
@@ -56,11 +57,11 @@
 
 TEST(FrontQueue, FullQueueKeepsRoomForOtherCallers) {
   World world = make_slow_world(milliseconds(50));
-  std::vector<Serial> buyer_requests = send_many(world, "buyer", 100);
+  std::vector<RequestSerial> buyer_requests = send_many(world, "buyer", 100);
   run_for(world, milliseconds(20));
   EXPECT_EQ(count_outcomes(world, buyer_requests, "not run: queue_full"),
             100 - 2 - static_cast<int>(config::kDefaultQueueLimit));
-  std::vector<Serial> foreman_requests = send_many(world, "foreman", 4);
+  std::vector<RequestSerial> foreman_requests = send_many(world, "foreman", 4);
   run_for(world, milliseconds(250));
   EXPECT_EQ(count_outcomes(world, foreman_requests, "answered"), 4);
   EXPECT_EQ(count_outcomes(world, buyer_requests, "not run: caller_over_share"),
@@ -71,7 +72,7 @@
 
 TEST(FrontQueue, DropsAtTheDeadlineWithoutSending) {
   World world = make_slow_world(milliseconds(200));
-  std::vector<Serial> serials = send_many(world, "buyer", 30);
+  std::vector<RequestSerial> serials = send_many(world, "buyer", 30);
   run_for(world, seconds(3));
   EXPECT_GE(count_outcomes(world, serials, "answered"), 8);
   EXPECT_GE(count_outcomes(world, serials, "not run: deadline_passed"), 18);
@@ -87,7 +88,7 @@
   }
   RequestHead head = make_head("GET", 1);
   head.time_left = milliseconds(100);
-  Serial serial = send_request(world, kDaemons[0], head);
+  RequestSerial serial = send_request(world, kDaemons[0], head);
   run_for(world, milliseconds(200));
   EXPECT_EQ(outcome_of(world, serial), "unknown: timeout_after_send");
   auto running = [&] {
@@ -105,7 +106,7 @@
 
 TEST(FrontQueue, PushbackEndsAsNotRun) {
   World world = make_slow_world(milliseconds(500));
-  Serial serial = send_request(world, kDaemons[0], make_head("PUT", 1));
+  RequestSerial serial = send_request(world, kDaemons[0], make_head("PUT", 1));
   run_for(world, milliseconds(20));
   for (auto& [name, daemon] : world.daemons) {
     auto open = daemon.state.request.open;
--- a/tests/overload_test.cc
+++ b/tests/overload_test.cc
@@ -14,10 +14,10 @@
 using fixtures::make_declarations;
 using fixtures::make_head;
 using fixtures::make_started_world;
+using scenario::RequestSerial;
 using scenario::run_for;
 using scenario::schedule;
 using scenario::send_request;
-using scenario::Serial;
 using scenario::World;
 
 constexpr Duration kServiceTime = milliseconds(20);
@@ -42,7 +42,8 @@
 void send_with_retries(World& world, int number, int attempts_left) {
   RequestHead head = make_head("GET", number % 997, "", number);
   head.caller = CallerName("caller-" + std::to_string(number % 5));
-  Serial serial = send_request(world, kDaemons[number % kDaemons.size()], head);
+  RequestSerial serial =
+      send_request(world, kDaemons[number % kDaemons.size()], head);
   if (attempts_left <= 1) return;
   schedule(world, milliseconds(1100) + kCallerRetryPause,
            [serial, number, attempts_left](World& w) {
--- a/tests/ownership_world.h
+++ b/tests/ownership_world.h
@@ -93,7 +93,7 @@
   SendCheck check = check_send(daemon.state, server, slot, key,
                                scenario::now_of(world, daemon));
   if (check.permission != SendPermission::kSend) return;
-  scenario::Serial serial = world.next_serial++;
+  scenario::RequestSerial serial = world.next_serial++;
   world.requests[serial] = {.serial = serial,
                             .head = {.service = kService},
                             .entry = name,
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -12,9 +12,9 @@
 using fixtures::make_head;
 using fixtures::make_started_world;
 using fixtures::outcome_of;
+using scenario::RequestSerial;
 using scenario::run_for;
 using scenario::send_request;
-using scenario::Serial;
 using scenario::World;
 
 std::uint32_t crashes(const World& world) {
@@ -26,9 +26,9 @@
 /// Sends a request that crashes its server once a second, through all daemons
 /// in turn; crashed servers restart after two seconds. Returns the last
 /// request.
-Serial resend_crashing_request(World& world, const RequestHead& head,
-                               int count) {
-  Serial last = 0;
+RequestSerial resend_crashing_request(World& world, const RequestHead& head,
+                                      int count) {
+  RequestSerial last = 0;
   for (int i = 0; i < count; ++i) {
     last = send_request(world, kDaemons[i % kDaemons.size()], head, true);
     run_for(world, seconds(1));
@@ -46,7 +46,7 @@
   for (const char* method : {"GET", "PUT", "POST"}) {
     World world = make_started_world(make_declarations(3));
     RequestHead head = make_head(method, 1, "poison");
-    Serial last = resend_crashing_request(world, head, 60);
+    RequestSerial last = resend_crashing_request(world, head, 60);
     EXPECT_LE(crashes(world), 2U) << method;
     EXPECT_NE(outcome_of(world, last), "answered") << method;
     std::printf("%s: %u servers down, last end %s\n", method, crashes(world),
@@ -58,9 +58,10 @@
 TEST(Quarantine, LastsUntilAnOperatorReleasesIt) {
   World world = make_started_world(make_declarations(3));
   RequestHead head = make_head("PUT", 1);
-  Serial last = resend_crashing_request(world, head, 20);
+  RequestSerial last = resend_crashing_request(world, head, 20);
   EXPECT_EQ(outcome_of(world, last), "not run: quarantined");
-  Serial other = send_request(world, kDaemons[0], make_head("PUT", 1, "", 2));
+  RequestSerial other =
+      send_request(world, kDaemons[0], make_head("PUT", 1, "", 2));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, other), "answered");
   std::uint64_t fingerprint = 0;
@@ -73,7 +74,7 @@
   for (const DaemonName& daemon : kDaemons)
     core::request::request_release(world.daemons.at(daemon).state, fingerprint);
   run_for(world, seconds(3));
-  Serial harmless = send_request(world, kDaemons[3], head);
+  RequestSerial harmless = send_request(world, kDaemons[3], head);
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, harmless), "answered");
 }
@@ -88,7 +89,7 @@
     if (!server.running.empty()) crash_server(world, name);
   }
   run_for(world, seconds(15));
-  Serial read = send_request(world, kDaemons[0], make_head("GET", 1));
+  RequestSerial read = send_request(world, kDaemons[0], make_head("GET", 1));
   run_for(world, seconds(2));
   EXPECT_EQ(outcome_of(world, read), "answered");
 }
--- a/tests/request_world.h
+++ b/tests/request_world.h
@@ -73,7 +73,7 @@
 /// Outcome and reason of a request, such as "answered" or "not run:
 /// quarantined"; "open" if it has not ended.
 inline std::string outcome_of(const scenario::World& world,
-                              scenario::Serial serial) {
+                              scenario::RequestSerial serial) {
   const scenario::CallerRequest& request = world.requests.at(serial);
   if (!request.outcome) return "open";
   std::string text(to_string(*request.outcome));
