--- a/src/scenario/world.cc
+++ b/src/scenario/world.cc
@@ -15,17 +15,17 @@
                                               : it->second.region;
 }
 
-void tick(World& world, const DaemonName& name, std::uint64_t run) {
+void tick(World& world, const DaemonName& name, std::uint64_t generation) {
   Daemon& daemon = world.daemons.at(name);
-  if (!daemon.alive || daemon.run != run) return;
-  if (!daemon.paused) deliver(world, name, run, core::Tick{});
+  if (!daemon.alive || daemon.generation != generation) return;
+  if (!daemon.paused) deliver(world, name, generation, core::Tick{});
   schedule(world, config::kTickInterval,
-           [name, run](World& w) { tick(w, name, run); });
+           [name, generation](World& w) { tick(w, name, generation); });
 }
 
 void lose_open_requests(World& world, Daemon& daemon) {
   for (const auto& [request, origin] : daemon.origins) {
-    end_attempt(world, origin.daemon, origin.run, origin.request,
+    end_attempt(world, origin.daemon, origin.generation, origin.request,
                 origin.attempt, AttemptUnknown{Reason::kConnectionLost, false},
                 config::kPingInterval);
   }
@@ -116,22 +116,25 @@
   daemon.paused = false;
   daemon.inbox.clear();
   daemon.declarations_seen = Version(0);
-  std::uint64_t run = ++daemon.run;
+  std::uint64_t generation = ++daemon.generation;
   world.vms[name.str()] = VmState::kLive;
-  deliver(world, name, run, core::Started{Incarnation(++world.incarnations)});
+  deliver(world, name, generation,
+          core::Started{Incarnation(++world.incarnations)});
   schedule(world, config::kTickInterval,
-           [name, run](World& w) { tick(w, name, run); });
+           [name, generation](World& w) { tick(w, name, generation); });
 }
 
 void kill_daemon(World& world, const DaemonName& name) {
   Daemon& daemon = world.daemons.at(name);
   if (!daemon.alive) return;
   daemon.alive = false;
-  ++daemon.run;
+  ++daemon.generation;
   lose_open_requests(world, daemon);
-  schedule(world, world.vm_list_lag, [name, run = daemon.run](World& w) {
-    if (w.daemons.at(name).run == run) w.vms[name.str()] = VmState::kGone;
-  });
+  schedule(world, world.vm_list_lag,
+           [name, generation = daemon.generation](World& w) {
+             if (w.daemons.at(name).generation == generation)
+               w.vms[name.str()] = VmState::kGone;
+           });
 }
 
 void pause_daemon(World& world, const DaemonName& name) {
@@ -145,21 +148,21 @@
   std::deque<core::Event> inbox = std::move(daemon.inbox);
   daemon.inbox.clear();
   for (const core::Event& event : inbox)
-    deliver(world, name, daemon.run, event);
+    deliver(world, name, daemon.generation, event);
 }
 
 void stop_daemon(World& world, const DaemonName& name) {
-  deliver(world, name, world.daemons.at(name).run, core::StopOrdered{});
+  deliver(world, name, world.daemons.at(name).generation, core::StopOrdered{});
 }
 
 Now now_of(const World& world, const Daemon& daemon) {
   return {TimePoint(world.now + daemon.clock_offset), kWorldEpoch + world.now};
 }
 
-void deliver(World& world, const DaemonName& name, std::uint64_t run,
+void deliver(World& world, const DaemonName& name, std::uint64_t generation,
              const core::Event& event) {
   Daemon& daemon = world.daemons.at(name);
-  if (!daemon.alive || daemon.run != run) return;
+  if (!daemon.alive || daemon.generation != generation) return;
   if (daemon.paused) {
     daemon.inbox.push_back(event);
     return;
@@ -204,15 +207,16 @@
         request.execution_class = operation.execution_class;
     }
   }
-  std::uint64_t run = world.daemons.at(entry).run;
-  schedule(
-      world, world.latencies.clients, [entry, run, serial, head](World& w) {
-        Daemon& daemon = w.daemons.at(entry);
-        if (!daemon.alive || daemon.run != run) return;
-        RequestId id(daemon.next_request++);
-        daemon.serials[id] = serial;
-        deliver(w, entry, run, core::RequestArrived{id, head, FromCaller{}});
-      });
+  std::uint64_t generation = world.daemons.at(entry).generation;
+  schedule(world, world.latencies.clients,
+           [entry, generation, serial, head](World& w) {
+             Daemon& daemon = w.daemons.at(entry);
+             if (!daemon.alive || daemon.generation != generation) return;
+             RequestId id(daemon.next_request++);
+             daemon.serials[id] = serial;
+             deliver(w, entry, generation,
+                     core::RequestArrived{id, head, FromCaller{}});
+           });
   return serial;
 }
 
@@ -220,8 +224,8 @@
                             const OperatorName& operator_name,
                             const CommandId& id, Command command) {
   OperatorCallId call(world.next_operator_call++);
-  std::uint64_t run = world.daemons.at(name).run;
-  deliver(world, name, run,
+  std::uint64_t generation = world.daemons.at(name).generation;
+  deliver(world, name, generation,
           core::CommandReceived{.call = call,
                                 .operator_name = operator_name,
                                 .id = id,
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -48,7 +48,7 @@
   core::State state;
   bool alive = false;
   bool paused = false;
-  std::uint64_t run =
+  std::uint64_t generation =
       0;  ///< Up by one at each start; stale deliveries are dropped.
   Duration clock_offset{0};
   std::deque<core::Event> inbox;  ///< Arrived during a pause.
@@ -56,7 +56,7 @@
   std::map<RequestId, RequestSerial> serials;
   struct Origin {
     DaemonName daemon;
-    std::uint64_t run = 0;
+    std::uint64_t generation = 0;
     RequestId request;
     AttemptId attempt;
   };
@@ -66,7 +66,7 @@
       origins;  ///< Requests that another daemon forwarded.
   struct Forward {
     DaemonName daemon;
-    std::uint64_t run = 0;
+    std::uint64_t generation = 0;
     RequestId request;
   };
   std::map<AttemptId, Forward> forwards;
@@ -221,7 +221,7 @@
 void resume_daemon(World& world, const DaemonName& daemon);
 void stop_daemon(World& world, const DaemonName& daemon);
 /// Hands an event to a daemon's reducer and executes the effects.
-void deliver(World& world, const DaemonName& daemon, std::uint64_t run,
+void deliver(World& world, const DaemonName& daemon, std::uint64_t generation,
              const core::Event& event);
 Now now_of(const World& world, const Daemon& daemon);
 
--- a/src/scenario/world_daemon.cc
+++ b/src/scenario/world_daemon.cc
@@ -32,15 +32,15 @@
   if (it == world.daemons.end()) return;
   ZoneName here = world.daemons.at(from).state.self.zone;
   ZoneName there = it->second.state.self.zone;
-  std::uint64_t run = it->second.run;
+  std::uint64_t generation = it->second.generation;
   int copies = chance(world, world.message_faults.duplicate) ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
     if (!reachable(world, here, there) ||
         chance(world, world.message_faults.loss))
       continue;
     schedule(world, latency(world, here, there) + jitter(world),
-             [to, run, message = effect.message](World& w) {
-               deliver(w, to, run, core::PeerReceived{message});
+             [to, generation, message = effect.message](World& w) {
+               deliver(w, to, generation, core::PeerReceived{message});
              });
   }
 }
@@ -52,8 +52,8 @@
   auto it = world.daemons.find(to);
   ZoneName from_zone = here.state.self.zone;
   auto fail = [&](const AttemptResult& result, Duration after) {
-    end_attempt(world, from, here.run, effect.request, effect.attempt, result,
-                after);
+    end_attempt(world, from, here.generation, effect.request, effect.attempt,
+                result, after);
   };
   if (it == world.daemons.end() || !it->second.alive) {
     fail(AttemptNotRun{Reason::kOwnerUnreachable},
@@ -68,25 +68,26 @@
   }
   RequestSerial serial = here.serials[effect.request];
   RequestId id(it->second.next_request++);
-  here.forwards[effect.attempt] = {to, it->second.run, id};
+  here.forwards[effect.attempt] = {to, it->second.generation, id};
   RequestHead head = world.requests.at(serial).head;
   head.time_left = effect.time_left;
   head.hops = 1;
-  Daemon::Origin origin{from, here.run, effect.request, effect.attempt};
+  Daemon::Origin origin{from, here.generation, effect.request, effect.attempt};
   ForwardedFrom forwarded{from, effect.server, effect.slot, effect.epoch};
-  schedule(world, latency(world, from_zone, to_zone),
-           [=, run = it->second.run](World& w) {
-             Daemon& there = w.daemons.at(to);
-             if (!there.alive || there.run != run) {
-               end_attempt(w, from, origin.run, effect.request, effect.attempt,
-                           AttemptNotRun{Reason::kOwnerUnreachable},
-                           config::kPingInterval);
-               return;
-             }
-             there.serials[id] = serial;
-             there.origins[id] = origin;
-             deliver(w, to, run, core::RequestArrived{id, head, forwarded});
-           });
+  schedule(
+      world, latency(world, from_zone, to_zone),
+      [=, generation = it->second.generation](World& w) {
+        Daemon& there = w.daemons.at(to);
+        if (!there.alive || there.generation != generation) {
+          end_attempt(w, from, origin.generation, effect.request,
+                      effect.attempt, AttemptNotRun{Reason::kOwnerUnreachable},
+                      config::kPingInterval);
+          return;
+        }
+        there.serials[id] = serial;
+        there.origins[id] = origin;
+        deliver(w, to, generation, core::RequestArrived{id, head, forwarded});
+      });
 }
 
 /// Takes the end of a forwarded request back to the daemon that sent it.
@@ -99,15 +100,15 @@
   ZoneName here = daemon.state.self.zone;
   ZoneName there = to.state.self.zone;
   if (!reachable(world, here, there)) {
-    end_attempt(world, origin.daemon, origin.run, origin.request,
+    end_attempt(world, origin.daemon, origin.generation, origin.request,
                 origin.attempt, AttemptUnknown{Reason::kConnectionLost},
                 config::kPingInterval + config::kPingTimeout);
     return;
   }
-  if (answer_of != 0 && to.run == origin.run)
+  if (answer_of != 0 && to.generation == origin.generation)
     to.answers[origin.attempt] = answer_of;
-  end_attempt(world, origin.daemon, origin.run, origin.request, origin.attempt,
-              result, latency(world, here, there));
+  end_attempt(world, origin.daemon, origin.generation, origin.request,
+              origin.attempt, result, latency(world, here, there));
 }
 
 void end_caller(World& world, Daemon& daemon, RequestId id, Outcome outcome,
@@ -169,29 +170,31 @@
 void list_vms(World& world, const DaemonName& name) {
   const Daemon& daemon = world.daemons.at(name);
   ZoneName zone = daemon.state.self.zone;
-  schedule(world, milliseconds(10), [name, zone, run = daemon.run](World& w) {
-    if (!store_reachable(w, zone)) {
-      deliver(w, name, run,
-              core::VmsListed{Error{ErrorCode::kUnavailable, "no answer"}});
-      return;
-    }
-    std::vector<VmEntry> vms;
-    for (const auto& [vm, state] : w.vms) vms.push_back({vm, state});
-    deliver(w, name, run, core::VmsListed{vms});
-  });
+  schedule(
+      world, milliseconds(10),
+      [name, zone, generation = daemon.generation](World& w) {
+        if (!store_reachable(w, zone)) {
+          deliver(w, name, generation,
+                  core::VmsListed{Error{ErrorCode::kUnavailable, "no answer"}});
+          return;
+        }
+        std::vector<VmEntry> vms;
+        for (const auto& [vm, state] : w.vms) vms.push_back({vm, state});
+        deliver(w, name, generation, core::VmsListed{vms});
+      });
 }
 
 }  // namespace
 
-void end_attempt(World& world, const DaemonName& name, std::uint64_t run,
+void end_attempt(World& world, const DaemonName& name, std::uint64_t generation,
                  RequestId request, AttemptId attempt,
                  const AttemptResult& result, Duration delay) {
   schedule(world, delay, [=](World& w) {
     Daemon& daemon = w.daemons.at(name);
-    if (daemon.run != run) return;
+    if (daemon.generation != generation) return;
     daemon.forwards.erase(attempt);
     daemon.at_servers.erase(attempt);
-    deliver(w, name, run, core::AttemptEnded{request, attempt, result});
+    deliver(w, name, generation, core::AttemptEnded{request, attempt, result});
   });
 }
 
@@ -203,12 +206,13 @@
   if (!reachable(world, from, to)) return;
   schedule(world, latency(world, from, to), [forward](World& w) {
     Daemon& daemon = w.daemons.at(forward.daemon);
-    if (daemon.run != forward.run || !daemon.origins.contains(forward.request))
+    if (daemon.generation != forward.generation ||
+        !daemon.origins.contains(forward.request))
       return;
     daemon.origins.erase(forward.request);
     daemon.serials.erase(forward.request);
     if (daemon.paused) daemon.cancelled.insert(forward.request);
-    deliver(w, forward.daemon, forward.run,
+    deliver(w, forward.daemon, forward.generation,
             core::RequestCancelled{forward.request});
   });
 }
@@ -237,7 +241,7 @@
           [&](const core::LogEvent& e) { world.timeline.push_back(e.event); },
           [&](const core::ExitProcess&) {
             daemon.alive = false;
-            ++daemon.run;
+            ++daemon.generation;
           },
       },
       effect);
--- a/src/scenario/world_p.h
+++ b/src/scenario/world_p.h
@@ -34,8 +34,8 @@
                     const ZoneName& from);
 
 /// Ends an attempt at its daemon after the answer has travelled.
-void end_attempt(World& world, const DaemonName& daemon, std::uint64_t run,
-                 RequestId request, AttemptId attempt,
+void end_attempt(World& world, const DaemonName& daemon,
+                 std::uint64_t generation, RequestId request, AttemptId attempt,
                  const AttemptResult& result, Duration delay);
 
 void execute(World& world, const DaemonName& daemon,
--- a/src/scenario/world_server.cc
+++ b/src/scenario/world_server.cc
@@ -101,7 +101,7 @@
                 back);
     return;
   }
-  if (front.run == work.front_run) {
+  if (front.generation == work.front_run) {
     world.daemons.at(work.front).answers[work.effect.attempt] = work.serial;
   }
   end_attempt(world, work.front, work.front_run, work.effect.request,
@@ -146,13 +146,13 @@
 
 void server_order(World& world, const DaemonName& daemon,
                   const core::SendGrant& effect) {
-  std::uint64_t run = world.daemons.at(daemon).run;
+  std::uint64_t generation = world.daemons.at(daemon).generation;
   ZoneName zone = world.daemons.at(daemon).state.self.zone;
   auto answered = std::make_shared<bool>(false);
   auto reply = [=](World& w, const GrantReply& grant_reply) {
     if (*answered) return;
     *answered = true;
-    deliver(w, daemon, run,
+    deliver(w, daemon, generation,
             core::GrantReplied{effect.server, effect.order.front_epoch,
                                effect.order.sequence, grant_reply});
   };
@@ -184,10 +184,10 @@
   const Server& server = world.servers.at(effect.server);
   Duration there =
       latency(world, front.state.self.zone, server.declaration.zone);
-  ServerWork work{effect, serial, daemon, front.run};
+  ServerWork work{effect, serial, daemon, front.generation};
   if (!reachable(world, front.state.self.zone, server.declaration.zone)) return;
   if (!server.alive) {
-    end_attempt(world, daemon, front.run, effect.request, effect.attempt,
+    end_attempt(world, daemon, front.generation, effect.request, effect.attempt,
                 AttemptNotRun{Reason::kOwnerUnreachable}, there * 2);
     return;
   }
--- a/src/scenario/world_store.cc
+++ b/src/scenario/world_store.cc
@@ -13,10 +13,11 @@
 void call_store(World& world, const DaemonName& name, StoreOpId op,
                 std::function<StoreResult(World&)> call, bool is_write) {
   const Daemon& daemon = world.daemons.at(name);
-  std::uint64_t run = daemon.run;
+  std::uint64_t generation = daemon.generation;
   ZoneName zone = daemon.state.self.zone;
-  auto unavailable = [name, run, op](World& w) {
-    deliver(w, name, run, core::StoreAnswered{op, StoreUnavailable{"timeout"}});
+  auto unavailable = [name, generation, op](World& w) {
+    deliver(w, name, generation,
+            core::StoreAnswered{op, StoreUnavailable{"timeout"}});
   };
   if (!store_reachable(world, zone)) {
     schedule(world, config::kStoreTimeout, unavailable);
@@ -37,7 +38,7 @@
     }
     schedule(w, there, [=](World& back) {
       if (store_reachable(back, zone)) {
-        deliver(back, name, run, core::StoreAnswered{op, result});
+        deliver(back, name, generation, core::StoreAnswered{op, result});
       } else {
         schedule(back, config::kStoreTimeout, unavailable);
       }
@@ -124,7 +125,7 @@
                  const core::StoreWatch& effect) {
   const Daemon& daemon = world.daemons.at(name);
   ZoneName zone = daemon.state.self.zone;
-  std::uint64_t run = daemon.run;
+  std::uint64_t generation = daemon.generation;
   StoreOpId op = effect.op;
   Duration there = latency(world, zone, world.latencies.store_zone) +
                    world.store.extra_latency;
@@ -133,7 +134,7 @@
     Duration delay = lost ? Duration(config::kStoreTimeout) : there;
     if (lost) result = StoreUnavailable{"watch lost"};
     schedule(w, delay, [=](World& back) {
-      deliver(back, name, run, core::StoreAnswered{op, result});
+      deliver(back, name, generation, core::StoreAnswered{op, result});
     });
   };
   if (!store_reachable(world, zone)) {
--- a/tests/front_queue_test.cc
+++ b/tests/front_queue_test.cc
@@ -112,7 +112,7 @@
     auto open = daemon.state.request.open;
     for (const auto& [id, request] : open) {
       if (request.stage != core::request::Stage::kAtServer) continue;
-      deliver(world, name, daemon.run,
+      deliver(world, name, daemon.generation,
               core::AttemptEnded{
                   id, request.attempt,
                   AttemptNotRun{Reason::kPushback, milliseconds(700)}});
