--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -104,7 +104,7 @@
   bool alive = true;
   bool frozen = false;
   std::uint64_t incarnation = 1;
-  Duration work = milliseconds(5);
+  Duration service_time = milliseconds(5);
   FrontEpoch highest_epoch;
   std::map<std::uint64_t, Duration>
       answers;  ///< Sequence -> when the answer was sent.
@@ -114,7 +114,7 @@
   std::set<SlotGrant> granted;
   std::uint32_t crashes = 0;
   struct Running {
-    ServerWork work;
+    ServerWork service_time;
     std::size_t execution = 0;  ///< Index into World::executions.
   };
   std::map<std::pair<DaemonName, AttemptId>, Running> running;
--- a/src/scenario/world_server.cc
+++ b/src/scenario/world_server.cc
@@ -90,53 +90,57 @@
   execution.aborted = world.now > execution.start + service.execution_limit;
   execution.end =
       std::min(world.now, execution.start + service.execution_limit);
-  const ServerWork& work = running.work;
-  const Daemon& front = world.daemons.at(work.front);
+  const ServerWork& service_time = running.service_time;
+  const Daemon& front = world.daemons.at(service_time.front);
   Duration back =
       latency(world, server.declaration.zone, front.state.self.zone);
   if (!reachable(world, server.declaration.zone, front.state.self.zone)) return;
   if (execution.aborted) {
-    end_attempt(world, work.front, work.front_run, work.effect.request,
-                work.effect.attempt, AttemptUnknown{Reason::kServerFailed},
-                back);
+    end_attempt(world, service_time.front, service_time.front_run,
+                service_time.effect.request, service_time.effect.attempt,
+                AttemptUnknown{Reason::kServerFailed}, back);
     return;
   }
-  if (front.generation == work.front_run) {
-    world.daemons.at(work.front).answers[work.effect.attempt] = work.serial;
+  if (front.generation == service_time.front_run) {
+    world.daemons.at(service_time.front).answers[service_time.effect.attempt] =
+        service_time.serial;
   }
-  end_attempt(world, work.front, work.front_run, work.effect.request,
-              work.effect.attempt, AttemptAnswered{200, 64}, back);
+  end_attempt(world, service_time.front, service_time.front_run,
+              service_time.effect.request, service_time.effect.attempt,
+              AttemptAnswered{200, 64}, back);
 }
 
-void start(World& world, const ServerName& name, const ServerWork& work) {
+void start(World& world, const ServerName& name,
+           const ServerWork& service_time) {
   Server& server = world.servers.at(name);
   Duration back = latency(world, server.declaration.zone,
-                          world.daemons.at(work.front).state.self.zone);
-  if (!granted(world, server, work.effect)) {
-    end_attempt(world, work.front, work.front_run, work.effect.request,
-                work.effect.attempt, AttemptNotRun{Reason::kGrantRefused},
-                back);
+                          world.daemons.at(service_time.front).state.self.zone);
+  if (!granted(world, server, service_time.effect)) {
+    end_attempt(world, service_time.front, service_time.front_run,
+                service_time.effect.request, service_time.effect.attempt,
+                AttemptNotRun{Reason::kGrantRefused}, back);
     return;
   }
-  Execution execution{.serial = work.serial,
+  Execution execution{.serial = service_time.serial,
                       .server = name,
-                      .slot = work.effect.slot,
-                      .key = work.effect.key,
-                      .epoch = work.effect.epoch,
+                      .slot = service_time.effect.slot,
+                      .key = service_time.effect.key,
+                      .epoch = service_time.effect.epoch,
                       .start = world.now};
   check_execution_start(world, execution);
-  std::pair<DaemonName, AttemptId> id{work.front, work.effect.attempt};
-  server.running[id] = {work, world.executions.size()};
+  std::pair<DaemonName, AttemptId> id{service_time.front,
+                                      service_time.effect.attempt};
+  server.running[id] = {service_time, world.executions.size()};
   world.executions.push_back(execution);
   if (server.running.size() > server.declaration.concurrency)
     violate(world, "server " + name.str() + " over its slots");
-  if (world.requests.at(work.serial).poison) {
+  if (world.requests.at(service_time.serial).poison) {
     schedule(world, milliseconds(1),
              [name](World& w) { crash_server(w, name); });
     return;
   }
   std::uint64_t incarnation = server.incarnation;
-  schedule(world, server.work, [name, incarnation, id](World& w) {
+  schedule(world, server.service_time, [name, incarnation, id](World& w) {
     at_server(w, name, incarnation,
               [name, id](World& there) { finish(there, name, id); });
   });
@@ -184,7 +188,7 @@
   const Server& server = world.servers.at(effect.server);
   Duration there =
       latency(world, front.state.self.zone, server.declaration.zone);
-  ServerWork work{effect, serial, daemon, front.generation};
+  ServerWork service_time{effect, serial, daemon, front.generation};
   if (!reachable(world, front.state.self.zone, server.declaration.zone)) return;
   if (!server.alive) {
     end_attempt(world, daemon, front.generation, effect.request, effect.attempt,
@@ -194,7 +198,7 @@
   std::uint64_t incarnation = server.incarnation;
   schedule(world, there, [=](World& w) {
     at_server(w, effect.server, incarnation,
-              [=](World& at) { start(at, effect.server, work); });
+              [=](World& at) { start(at, effect.server, service_time); });
   });
 }
 
@@ -230,9 +234,9 @@
     execution.ended = true;
     execution.aborted = true;
     execution.end = world.now;
-    const ServerWork& work = running.work;
-    end_attempt(world, work.front, work.front_run, work.effect.request,
-                work.effect.attempt,
+    const ServerWork& service_time = running.service_time;
+    end_attempt(world, service_time.front, service_time.front_run,
+                service_time.effect.request, service_time.effect.attempt,
                 AttemptUnknown{Reason::kConnectionLost, true},
                 world.latencies.same_zone);
   }
@@ -247,7 +251,7 @@
   std::uint32_t crashes = server.crashes;
   server = Server{.declaration = declaration,
                   .incarnation = incarnation,
-                  .work = server.work,
+                  .service_time = server.service_time,
                   .crashes = crashes};
 }
 
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -163,8 +163,8 @@
        header_text(request, "idempotency-key"), job->key.str(), request.method,
        request.target, job->slot, job->epoch, wall_now(), std::nullopt, false});
   if (log_.is_open()) log_ << request.target << std::endl;
-  Duration work = work_time();
-  job->timer.expires_after(std::min(work, options_.execution_limit));
+  Duration service_time = work_time();
+  job->timer.expires_after(std::min(service_time, options_.execution_limit));
   job->timer.async_wait([this, job](boost::system::error_code failed) {
     if (!failed) finish(job);
   });
@@ -172,7 +172,7 @@
 
 Duration BackendServer::work_time() const {
   bool cold = io::steady_now() - started_ < options_.cold_start;
-  return cold ? options_.work * kColdFactor : options_.work;
+  return cold ? options_.service_time * kColdFactor : options_.service_time;
 }
 
 void BackendServer::finish(const std::shared_ptr<Job>& job) {
@@ -266,7 +266,7 @@
   } else if (verb == "truncate") {
     truncating_ = on;
   } else if (verb == "work" && number) {
-    options_.work = milliseconds(*number);
+    options_.service_time = milliseconds(*number);
   } else {
     return Error{ErrorCode::kInvalid, "unknown control line \"" + line + "\""};
   }
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -25,7 +25,7 @@
   std::uint32_t concurrency = 2;
   std::uint32_t queue = 16;  ///< Requests that wait for a place; more are shed.
   Duration cold_start{0};    ///< Work takes longer for this long.
-  Duration work = milliseconds(5);
+  Duration service_time = milliseconds(5);
   Duration execution_limit = seconds(1);
   bool checks_grants = true;
   bool crashable = false;  ///< A path with "/crash" ends the process.
@@ -62,7 +62,7 @@
   std::uint32_t most_running() const { return most_running_; }
   std::size_t connections() const { return server_.connections(); }
 
-  void set_work(Duration work) { options_.work = work; }
+  void set_work(Duration service_time) { options_.service_time = service_time; }
   void set_shedding(bool on) { shedding_ = on; }
   void set_truncating(bool on) { truncating_ = on; }
   /// Connections that now exist go silent; new ones work.
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -59,7 +59,8 @@
 std::string repeat_outcome_after_total_loss(core::Guards guards,
                                             std::uint64_t& executions) {
   World world = make_started_world(make_declarations(1), 1, guards);
-  for (auto& [name, server] : world.servers) server.work = milliseconds(100);
+  for (auto& [name, server] : world.servers)
+    server.service_time = milliseconds(100);
   send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, milliseconds(80));
   for (const DaemonName& daemon : kDaemons) kill_daemon(world, daemon);
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -17,7 +17,7 @@
   BackendCallsTest() : control_(io_), calls_(io_, "test-1") {
     start_server({.name = ServerName("panboard-01"),
                   .concurrency = 4,
-                  .work = milliseconds(2)});
+                  .service_time = milliseconds(2)});
   }
 
   void start_server(const standin::ServerOptions& options) {
--- a/tests/front_queue_test.cc
+++ b/tests/front_queue_test.cc
@@ -26,9 +26,9 @@
   return count;
 }
 
-World make_slow_world(Duration work) {
+World make_slow_world(Duration service_time) {
   World world = make_started_world(make_declarations(1));
-  for (auto& [name, server] : world.servers) server.work = work;
+  for (auto& [name, server] : world.servers) server.service_time = service_time;
   return world;
 }
 
--- a/tests/overload_test.cc
+++ b/tests/overload_test.cc
@@ -93,7 +93,7 @@
 World make_loaded_world() {
   Declarations declared = make_declarations(kServers / 2);
   World world = make_started_world(declared);
-  for (auto& [name, server] : world.servers) server.work = kServiceTime;
+  for (auto& [name, server] : world.servers) server.service_time = kServiceTime;
   return world;
 }
 
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -81,7 +81,8 @@
 
 TEST(Quarantine, OneServerLossDoesNotQuarantineItsBusiestRead) {
   World world = make_started_world(make_declarations(2));
-  for (auto& [name, server] : world.servers) server.work = milliseconds(50);
+  for (auto& [name, server] : world.servers)
+    server.service_time = milliseconds(50);
   for (int i = 0; i < 6; ++i)
     send_request(world, kDaemons[0], make_head("GET", 1));
   run_for(world, milliseconds(20));
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -24,7 +24,8 @@
   IoCluster cluster_;
 };
 
-const standin::ServerOptions kQuick{.concurrency = 4, .work = milliseconds(1)};
+const standin::ServerOptions kQuick{.concurrency = 4,
+                                    .service_time = milliseconds(1)};
 
 TEST_F(ShellTest, AnyDaemonRelaysTheOwnersCompleteAnswer) {
   start(2, kQuick);
--- a/tools/eelstandin/main.cc
+++ b/tools/eelstandin/main.cc
@@ -82,7 +82,7 @@
   server.log_file = given["log"].as<std::string>();
   server.concurrency = given["concurrency"].as<std::uint32_t>();
   server.cold_start = milliseconds(given["cold-start"].as<std::int64_t>());
-  server.work = milliseconds(given["work"].as<std::int64_t>());
+  server.service_time = milliseconds(given["work"].as<std::int64_t>());
   server.execution_limit =
       milliseconds(given["execution-limit"].as<std::int64_t>());
   server.checks_grants = given.count("no-grants") == 0;
