--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -62,7 +62,9 @@
   std::uint32_t most_running() const { return most_running_; }
   std::size_t connections() const { return server_.connections(); }
 
-  void set_work(Duration service_time) { options_.service_time = service_time; }
+  void set_service_time(Duration service_time) {
+    options_.service_time = service_time;
+  }
   void set_shedding(bool on) { shedding_ = on; }
   void set_truncating(bool on) { truncating_ = on; }
   /// Connections that now exist go silent; new ones work.
--- a/tests/backend_calls_test.cc
+++ b/tests/backend_calls_test.cc
@@ -152,7 +152,7 @@
 
 TEST_F(BackendCallsTest, ClosedConnectionIsUnknownAndReportedAsClosed) {
   grant();
-  server_->set_work(milliseconds(500));
+  server_->set_service_time(milliseconds(500));
   AttemptId attempt = send(request(false));
   ASSERT_TRUE(
       run_until(io_, [&] { return server_->executions().size() == 1; }));
@@ -165,20 +165,20 @@
 
 TEST_F(BackendCallsTest, TimeoutIsUnknownAndItsConnectionIsNotReused) {
   grant();
-  server_->set_work(milliseconds(300));
+  server_->set_service_time(milliseconds(300));
   OutboundRequest short_deadline_request = request();
   short_deadline_request.time_left = milliseconds(50);
   EXPECT_EQ(std::get<AttemptUnknown>(run(short_deadline_request).result).reason,
             Reason::kTimeoutAfterSend);
   EXPECT_EQ(calls_.connections(server_->bound_endpoint()), 0U);
-  server_->set_work(milliseconds(1));
+  server_->set_service_time(milliseconds(1));
   AttemptReply next = run(request());
   EXPECT_TRUE(std::holds_alternative<AttemptAnswered>(next.result));
 }
 
 TEST_F(BackendCallsTest, CancellationReachesTheServer) {
   grant();
-  server_->set_work(milliseconds(800));
+  server_->set_service_time(milliseconds(800));
   AttemptId attempt = send(request());
   ASSERT_TRUE(
       run_until(io_, [&] { return server_->executions().size() == 1; }));
--- a/tests/shell_test.cc
+++ b/tests/shell_test.cc
@@ -77,8 +77,8 @@
 
 TEST_F(ShellTest, DisconnectOfTheCallerAbortsTheWork) {
   start(2, kQuick);
-  cluster_.server(0).set_work(milliseconds(350));
-  cluster_.server(1).set_work(milliseconds(350));
+  cluster_.server(0).set_service_time(milliseconds(350));
+  cluster_.server(1).set_service_time(milliseconds(350));
   std::size_t before = cluster_.executions();
   for (int daemon = 0; daemon < 2; ++daemon) {
     RawClient client(cluster_.io(), cluster_.daemon(daemon).callers());
@@ -126,8 +126,8 @@
 
 TEST_F(ShellTest, GracefulStopFinishesOpenRequests) {
   start(2, kQuick);
-  cluster_.server(0).set_work(milliseconds(200));
-  cluster_.server(1).set_work(milliseconds(200));
+  cluster_.server(0).set_service_time(milliseconds(200));
+  cluster_.server(1).set_service_time(milliseconds(200));
   std::vector<std::shared_ptr<std::optional<io::HttpResult>>> calls;
   calls.reserve(12);
   for (int i = 0; i < 12; ++i) {
