--- a/src/scenario/matrix.cc
+++ b/src/scenario/matrix.cc
@@ -133,7 +133,7 @@
       store_down(world);
       return;
     case Fault::kLostAnswers:
-      world.store.lose_answers = 5;
+      world.store.answers_to_lose = 5;
       return;
     case Fault::kZoneCut:
       isolate_zone(world, server.zone);
@@ -164,7 +164,7 @@
   store_up(world);
   heal_network(world);
   world.message_faults = {};
-  world.store.lose_answers = 0;
+  world.store.answers_to_lose = 0;
   for (auto& [name, server] : world.servers) {
     thaw_server(world, name);
     if (!server.alive) restart_server(world, name);
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -148,7 +148,7 @@
   std::map<StoreKey, StoreEntry> entries;
   std::uint64_t revision = 0;
   bool down = false;
-  std::uint32_t lose_answers = 0;  ///< Of the next writes.
+  std::uint32_t answers_to_lose = 0;  ///< Of the next writes.
   Duration extra_latency{0};
   std::vector<Watcher> watchers;
   std::uint64_t next_watcher = 1;
--- a/src/scenario/world_store.cc
+++ b/src/scenario/world_store.cc
@@ -31,8 +31,8 @@
       return;
     }
     StoreResult result = call(w);
-    if (is_write && w.store.lose_answers > 0) {
-      --w.store.lose_answers;
+    if (is_write && w.store.answers_to_lose > 0) {
+      --w.store.answers_to_lose;
       schedule(w, config::kStoreTimeout, unavailable);
       return;
     }
--- a/tests/at_most_once_test.cc
+++ b/tests/at_most_once_test.cc
@@ -109,7 +109,7 @@
 
 TEST(AtMostOnce, ALostStoreAnswerIsSettledBeforeTheSend) {
   World world = make_started_world(make_declarations(1));
-  world.store.lose_answers = 2;
+  world.store.answers_to_lose = 2;
   RequestSerial lodged =
       send_request(world, kDaemons[0], make_head("POST", 1, "a"));
   run_for(world, seconds(2));
--- a/tests/ownership_property_test.cc
+++ b/tests/ownership_property_test.cc
@@ -92,7 +92,7 @@
     case Fault::kStoreUp:
       return scenario::store_up(world);
     case Fault::kLoseAnswers:
-      world.store.lose_answers = 2;
+      world.store.answers_to_lose = 2;
       return;
     case Fault::kIsolate:
       return scenario::isolate_zone(
--- a/tests/request_property_test.cc
+++ b/tests/request_property_test.cc
@@ -53,7 +53,7 @@
       world.message_faults = {};
       break;
     case 10:
-      world.store.lose_answers = 2;
+      world.store.answers_to_lose = 2;
       break;
     default:
       run_for(world, milliseconds(100 * (draw / 16 % 8)));
