--- a/src/scenario/matrix.cc
+++ b/src/scenario/matrix.cc
@@ -250,7 +250,7 @@
   run_for(world, kRepairTime);
   result.recovered = is_serving(world);
   for (const auto& [call, answer] : world.operator_answers) {
-    if (answer.error) result.order_error = answer.error->message;
+    if (answer.error) result.command_error = answer.error->message;
   }
   result.violations = check_run(world);
   result.totals = totals(world);
--- a/src/scenario/matrix.h
+++ b/src/scenario/matrix.h
@@ -51,9 +51,9 @@
 struct CellResult {
   std::vector<std::string> violations;
   OutcomeTotals totals;
-  Duration longest_gap{0};  ///< Without an answer, of one key, from a caller.
-  std::string order_error;  ///< Why the operation's order was refused.
-  bool recovered = false;   ///< Every key was answered at the end.
+  Duration longest_gap{0};    ///< Without an answer, of one key, from a caller.
+  std::string command_error;  ///< Why the operation's order was refused.
+  bool recovered = false;     ///< Every key was answered at the end.
 };
 
 /// Two daemons a zone, named <zone>-1 and <zone>-2, all slots owned.
--- a/tools/eelscn/main.cc
+++ b/tools/eelscn/main.cc
@@ -39,7 +39,7 @@
              Sums& sums) {
   scenario::CellResult result = scenario::run_cell(declarations, cell);
   bool good = result.violations.empty() && result.recovered &&
-              result.order_error.empty();
+              result.command_error.empty();
   ++(good ? sums.passed : sums.failed);
   std::cout << "| " << to_string(cell.operation) << " | "
             << to_string(cell.fault) << " | " << to_ms(cell.offset) << " | "
@@ -47,8 +47,8 @@
             << " | " << result.totals.not_run << " | " << result.totals.unknown
             << " | " << (good ? "holds" : "RED");
   if (!result.recovered) std::cout << " not serving at the end;";
-  if (!result.order_error.empty())
-    std::cout << " refused: " << result.order_error << ";";
+  if (!result.command_error.empty())
+    std::cout << " refused: " << result.command_error << ";";
   if (!result.violations.empty())
     std::cout << " " << result.violations.size()
               << " violations, first: " << result.violations.front();
