--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -271,14 +271,14 @@
   std::string line;
   while (std::getline(lines, line)) {
     if (line.empty()) continue;
-    if (auto wrong = control(line)) {
+    if (auto wrong = apply_control_line(line)) {
       return exchange->answer(text(400, wrong->message + "\n"));
     }
   }
   exchange->answer(text(200, "ok\n"));
 }
 
-std::optional<Error> Platform::control(const std::string& line) {
+std::optional<Error> Platform::apply_control_line(const std::string& line) {
   std::istringstream words(line);
   std::string verb;
   std::string first;
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -60,7 +60,7 @@
   void set_vm(const std::string& name, VmState state);
   void set_vm_lag(Duration lag) { vm_lag_ = lag; }
   /// One control line; the error says what is wrong with it.
-  std::optional<Error> control(const std::string& line);
+  std::optional<Error> apply_control_line(const std::string& line);
 
  private:
   using Exchange = std::shared_ptr<io::HttpExchange>;
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -235,14 +235,15 @@
   std::string line;
   while (std::getline(lines, line)) {
     if (line.empty()) continue;
-    if (auto wrong = control(line)) {
+    if (auto wrong = apply_control_line(line)) {
       return exchange->answer(text(400, wrong->message + "\n"));
     }
   }
   exchange->answer(text(200, "ok\n"));
 }
 
-std::optional<Error> BackendServer::control(const std::string& line) {
+std::optional<Error> BackendServer::apply_control_line(
+    const std::string& line) {
   std::istringstream words(line);
   std::string verb;
   std::string first;
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -72,7 +72,7 @@
   /// Stops accepting and closes every connection.
   void close() { server_.close(); }
   /// One control line; the error says what is wrong with it.
-  std::optional<Error> control(const std::string& line);
+  std::optional<Error> apply_control_line(const std::string& line);
 
  private:
   using Exchange = std::shared_ptr<io::HttpExchange>;
--- a/tools/eelstandin/main.cc
+++ b/tools/eelstandin/main.cc
@@ -64,7 +64,7 @@
   }
   if (given.count("control") > 0) {
     for (const auto& line : given["control"].as<std::vector<std::string>>()) {
-      if (auto wrong = stand_in.control(line)) {
+      if (auto wrong = stand_in.apply_control_line(line)) {
         std::cerr << "eelstandin: " << wrong->message << "\n";
         return kExitUsage;
       }
