--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -68,7 +68,8 @@
       started_(io::steady_now()),
       grants_(random_incarnation()),
       server_(io, {}, [this](const Exchange& exchange) { handle(exchange); }) {
-  if (!options_.log_file.empty()) log_.open(options_.log_file, std::ios::app);
+  if (!options_.execution_log_path.empty())
+    log_.open(options_.execution_log_path, std::ios::app);
 }
 
 BackendServer::~BackendServer() {
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -31,7 +31,7 @@
   bool crashable = false;  ///< A path with "/crash" ends the process.
   /// File for a line of each execution as it starts, which outlives the
   /// process. Empty: none.
-  std::string log_file;
+  std::string execution_log_path;
   /// Ends the process; tests give their own.
   std::function<void()> crash;
 };
--- a/tools/eelstandin/main.cc
+++ b/tools/eelstandin/main.cc
@@ -79,7 +79,7 @@
                const options::variables_map& given) {
   eelgrasspin::standin::ServerOptions server;
   server.name = ServerName(given["name"].as<std::string>());
-  server.log_file = given["log"].as<std::string>();
+  server.execution_log_path = given["log"].as<std::string>();
   server.concurrency = given["concurrency"].as<std::uint32_t>();
   server.cold_start = milliseconds(given["cold-start"].as<std::int64_t>());
   server.service_time = milliseconds(given["work"].as<std::int64_t>());
