--- a/src/scenario/world_daemon.cc
+++ b/src/scenario/world_daemon.cc
@@ -229,7 +229,7 @@
           [&](const core::SendPeer& e) { send_peer(world, name, e); },
           [&](const core::SendGrant& e) { server_order(world, name, e); },
           [&](const core::SendToServer& e) {
-            server_run(world, name, e, daemon.serials[e.request]);
+            run_on_server(world, name, e, daemon.serials[e.request]);
           },
           [&](const core::SendToFront& e) { send_to_front(world, name, e); },
           [&](const core::CancelAttempt& e) { cancel(world, daemon, e); },
--- a/src/scenario/world_p.h
+++ b/src/scenario/world_p.h
@@ -26,8 +26,8 @@
 // Server effects.
 void server_order(World& world, const DaemonName& daemon,
                   const core::SendGrant& effect);
-void server_run(World& world, const DaemonName& daemon,
-                const core::SendToServer& effect, RequestSerial serial);
+void run_on_server(World& world, const DaemonName& daemon,
+                   const core::SendToServer& effect, RequestSerial serial);
 void server_cancel(World& world, const ServerName& server,
                    const DaemonName& daemon, AttemptId attempt);
 void cancel_forward(World& world, const Daemon::Forward& forward,
--- a/src/scenario/world_server.cc
+++ b/src/scenario/world_server.cc
@@ -181,8 +181,8 @@
   });
 }
 
-void server_run(World& world, const DaemonName& daemon,
-                const core::SendToServer& effect, RequestSerial serial) {
+void run_on_server(World& world, const DaemonName& daemon,
+                   const core::SendToServer& effect, RequestSerial serial) {
   Daemon& front = world.daemons.at(daemon);
   front.at_servers[effect.attempt] = effect.server;
   const Server& server = world.servers.at(effect.server);
--- a/tests/ownership_world.h
+++ b/tests/ownership_world.h
@@ -108,7 +108,7 @@
                     .front_epoch = check.front_epoch,
                     .time_left = seconds(1),
                     .repeatable = true};
-  scenario::server_run(world, name, send, serial);
+  scenario::run_on_server(world, name, send, serial);
 }
 
 inline void probe(World& world, const std::shared_ptr<Prober>& prober) {
