--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "tests/platform_standin.h"
-#include "tests/soak/promises.h"
+#include "tests/soak/guarantee_checker.h"
 #include "tests/soak/proxy.h"
 
 namespace eelgrasspin::soak {
--- a/tests/soak/promises.h
+++ b/tests/soak/guarantee_checker.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_TESTS_SOAK_PROMISES_H_
-#define EELGRASSPIN_TESTS_SOAK_PROMISES_H_
+#ifndef EELGRASSPIN_TESTS_SOAK_GUARANTEE_CHECKER_H_
+#define EELGRASSPIN_TESTS_SOAK_GUARANTEE_CHECKER_H_
 
 #include <cstdint>
 #include <map>
@@ -65,4 +65,4 @@
 
 }  // namespace eelgrasspin::soak
 
-#endif  // EELGRASSPIN_TESTS_SOAK_PROMISES_H_
+#endif  // EELGRASSPIN_TESTS_SOAK_GUARANTEE_CHECKER_H_
--- a/tests/soak/promises.cc
+++ b/tests/soak/promises.cc
@@ -1,7 +1,7 @@
-#include "tests/soak/promises.h"
-
 #include <algorithm>
 
+#include "tests/soak/guarantee_checker.h"
+
 namespace eelgrasspin::soak {
 namespace {
 
