--- a/src/core/operator/commands.cc
+++ b/src/core/operator/commands.cc
@@ -160,7 +160,7 @@
   if (plan != nullptr && plan->id == record.id.str())
     return done("drain ordered");
   if (plan != nullptr && !plan->cancelled)
-    return lost_to_conflict("already being drained by command " + plan->id);
+    return lost_to_conflict("already draining by command " + plan->id);
   if (write_pending(state, key)) return std::nullopt;
   DrainPlan new_plan{.id = record.id.str(),
                      .server = drain.server,
@@ -187,7 +187,7 @@
   const auto* plan = find<DrainPlan>(state.cache, key);
   if (plan == nullptr || plan->cancelled) {
     membership::set_server_status(state, undrain.server, ServerStatus::kActive);
-    return done("the server can be assigned slots again");
+    return done("the server takes slots again");
   }
   if (write_pending(state, key)) return std::nullopt;
   DrainPlan cancelled = *plan;
@@ -206,10 +206,9 @@
   if (closure != nullptr && closure->id == record.id.str())
     return done("closure announced");
   if (closure != nullptr && closure->step != ClosureStep::kCancelled) {
-    return lost_to_conflict("command " + closure->id + " of " +
-                            closure->ordered_by.str() +
-                            " is already closing the service, step: " +
-                            std::string(to_string(closure->step)));
+    return lost_to_conflict(
+        "command " + closure->id + " of " + closure->ordered_by.str() +
+        " already closes it, now " + std::string(to_string(closure->step)));
   }
   if (write_pending(state, key)) return std::nullopt;
   Closure announced{.service = close.service,
@@ -370,9 +369,8 @@
     if (settled_write(state, pending.key) == nullptr) return false;
     const auto* record = find<CommandRecord>(state.cache, pending.key);
     if (record == nullptr) {
-      reply(effects, pending.call, pending.id, "command not recorded",
-            Error{ErrorCode::kUnavailable,
-                  "the store did not confirm the write"});
+      reply(effects, pending.call, pending.id, "not recorded",
+            Error{ErrorCode::kUnavailable, "the store did not confirm"});
       return true;
     }
     core::record(state,
@@ -398,7 +396,7 @@
       finish(state, command,
              {CommandState::kLostToConflict,
               "command " + winner.id.str() + " of " + winner.ordered_by.str() +
-                  " was stored earlier and is not finished: " + winner.text},
+                  " came first and is not finished: " + winner.text},
              now, effects);
       continue;
     }
--- a/src/core/operator/fan_out.cc
+++ b/src/core/operator/fan_out.cc
@@ -36,8 +36,7 @@
     answer.answer.sections.push_back({"", table_of(state, show->subject, now)});
   } else {
     answer.answer.error =
-        Error{ErrorCode::kInvalid,
-              "only show commands are forwarded between daemons"};
+        Error{ErrorCode::kInvalid, "only show commands are passed on"};
   }
   send(state, call.address, std::move(answer), effects);
 }
@@ -56,7 +55,7 @@
       finish_show(show, std::move(fan_out.answer.sections.front().table), now);
   for (const DaemonName& missing : fan_out.unanswered) {
     answer.message +=
-        (answer.message.empty() ? "no answer from: " : " ") + missing.str();
+        (answer.message.empty() ? "not heard: " : " ") + missing.str();
   }
   effects.push_back(ReplyOperator{fan_out.call, std::move(answer)});
 }
--- a/src/core/operator/operators.cc
+++ b/src/core/operator/operators.cc
@@ -132,7 +132,7 @@
   for (const PendingApply& apply : state.operators.pending_applies) {
     if (!settled->took_effect) {
       reply_error(effects, apply.call, ErrorCode::kConflict,
-                  "another change of the declarations was stored first");
+                  "another change came first");
       continue;
     }
     CommandAnswer answer;
