--- a/src/core/ownership/move_orders.cc
+++ b/src/core/ownership/move_orders.cc
@@ -187,8 +187,7 @@
   bool same = it->second.target == order.target &&
               it->second.target_zone == order.target_zone;
   if (!inserted && !same)
-    return Error{ErrorCode::kConflict,
-                 "another move of this slot or key is already waiting"};
+    return Error{ErrorCode::kConflict, "another move of it waits already"};
   return std::string("waiting");
 }
 
