--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -151,7 +151,7 @@
   IntentState state = IntentState::kIntended;
   std::uint16_t status = 0;  ///< HTTP status of the answer, if answered.
   WallTime recorded;
-  std::uint64_t ticket = 0;  ///< Unique id of the request that recorded it.
+  std::uint64_t intent_id = 0;  ///< Unique id of the request that recorded it.
 
   bool operator==(const Intent&) const = default;
 };
--- a/src/codec/record_fields_p.h
+++ b/src/codec/record_fields_p.h
@@ -111,7 +111,7 @@
   a("state", v.state);
   a("status", v.status);
   a("recorded", v.recorded);
-  a("ticket", v.ticket);
+  a("ticket", v.intent_id);
 }
 
 template <class A>
--- a/src/core/request/intents.cc
+++ b/src/core/request/intents.cc
@@ -29,7 +29,7 @@
           .idempotency_key = request.head.idempotency_key,
           .fingerprint = content_fingerprint(request),
           .state = intent_state,
-          .ticket = request.ticket};
+          .intent_id = request.intent_id};
 }
 
 bool was_submitted(const OpenRequest& request) {
@@ -127,7 +127,7 @@
 void on_verdict(core::State& state, RequestId id, const Intent& submitted,
                 const IntentVerdict& verdict, Now now, Effects& effects) {
   OpenRequest* request = find_open(state, id);
-  if (request == nullptr || request->ticket != submitted.ticket ||
+  if (request == nullptr || request->intent_id != submitted.intent_id ||
       request->intent != IntentPhase::kSubmitted)
     return;
   if (verdict.recorded) {
@@ -196,7 +196,7 @@
     return false;
   }
   request.intent = IntentPhase::kPending;
-  request.ticket = new_write_id(state);
+  request.intent_id = new_write_id(state);
   state.request.intents.unsent[ledger_zone(state, request)].push_back(
       request.id);
   return true;
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -52,7 +52,7 @@
     IntentKey key = key_of(item.intent);
     auto known = ledger.index.find(key);
     bool same = known != ledger.index.end() &&
-                known->second.intent.ticket == item.intent.ticket;
+                known->second.intent.intent_id == item.intent.intent_id;
     bool may_run = known == ledger.index.end() ||
                    known->second.intent.state == IntentState::kNotRun;
     if (same && known->second.confirmed) {
@@ -109,7 +109,7 @@
     ++state.counters[Counter::kIntentsRecorded];
     auto known = ledger.index.find(key_of(item.intent));
     if (known != ledger.index.end() &&
-        known->second.intent.ticket == item.intent.ticket)
+        known->second.intent.intent_id == item.intent.intent_id)
       known->second.confirmed = true;
     set_verdict(state, ledger, item, {.recorded = true}, effects);
   }
@@ -227,7 +227,7 @@
                       const Intent& intent, Effects& effects) {
   auto it = std::find_if(ledger.waiting.begin(), ledger.waiting.end(),
                          [&](const WaitingIntent& item) {
-                           return item.intent.ticket == intent.ticket;
+                           return item.intent.intent_id == intent.intent_id;
                          });
   if (it == ledger.waiting.end()) return false;
   WaitingIntent item = std::move(*it);
@@ -241,7 +241,7 @@
   auto it = ledger.index.find(key_of(intent));
   if (it == ledger.index.end()) return false;
   IndexedIntent& known = it->second;
-  if (known.intent.ticket != intent.ticket) return true;
+  if (known.intent.intent_id != intent.intent_id) return true;
   if (known.intent.state != IntentState::kIntended || !known.in_own_zone)
     return true;
   known.intent.state = intent.state;
--- a/src/core/request/ledger_load.cc
+++ b/src/core/request/ledger_load.cc
@@ -52,7 +52,7 @@
     auto it = ledger.index.find(key);
     if (it == ledger.index.end()) continue;
     IndexedIntent& entry = it->second;
-    bool newer = entry.intent.ticket == earlier.intent.ticket &&
+    bool newer = entry.intent.intent_id == earlier.intent.intent_id &&
                  entry.intent.state == IntentState::kIntended &&
                  earlier.intent.state != IntentState::kIntended;
     if (!newer) continue;
--- a/src/core/request/state.h
+++ b/src/core/request/state.h
@@ -63,7 +63,7 @@
   TimePoint try_after;  ///< While held: earliest dispatch without a newer map.
   Reason last_refusal = Reason::kNone;  ///< Why the last attempt did not run.
   IntentPhase intent = IntentPhase::kNotNeeded;
-  std::uint64_t ticket = 0;  ///< Unique id of its intent.
+  std::uint64_t intent_id = 0;  ///< Unique id of its intent.
 };
 
 /// An attempt that the backend server may still be executing.
