--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -171,9 +171,9 @@
 struct StrikeReport {
   DaemonName daemon;
   QuarantineEntry entry;
-  std::uint64_t event = 0;  ///< Identifies the report, so that duplicates count
-                            ///< once.
-  ZoneName zone;            ///< Zone of the daemon and of the quarantine list.
+  std::uint64_t report_id = 0;  ///< Identifies the report, so that duplicates
+                                ///< count once.
+  ZoneName zone;  ///< Zone of the daemon and of the quarantine list.
 
   bool operator==(const StrikeReport&) const = default;
 };
--- a/src/codec/message_fields_p.h
+++ b/src/codec/message_fields_p.h
@@ -190,7 +190,7 @@
 void fields(A& a, ConstIfWriting<A, StrikeReport>& v) {
   a("daemon", v.daemon);
   a("entry", v.entry);
-  a("event", v.event);
+  a("event", v.report_id);
   a("zone", v.zone);
 }
 
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -239,9 +239,9 @@
 void on_strike_report(core::State& state, const StrikeReport& report) {
   Quarantine& quarantine = state.request.quarantine;
   auto& recent = quarantine.recent_reports;
-  if (std::find(recent.begin(), recent.end(), report.event) != recent.end())
+  if (std::find(recent.begin(), recent.end(), report.report_id) != recent.end())
     return;
-  recent.push_back(report.event);
+  recent.push_back(report.report_id);
   if (recent.size() > kMaxRecentReports) recent.pop_front();
   quarantine.to_record[report.zone].push_back(report);
 }
