--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -166,7 +166,7 @@
 // Connections to backend servers.
 inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
 /// An idle connection counts as alive when its last answer is at most this old.
-inline constexpr Duration kMaxOnceOnlyReuseAge = milliseconds(100);
+inline constexpr Duration kMaxNonRepeatableReuseAge = milliseconds(100);
 /// An idle connection whose last answer is older than this is not reused.
 inline constexpr Duration kMaxConnectionReuseAge = seconds(2);
 
--- a/src/io/backend_calls_http.cc
+++ b/src/io/backend_calls_http.cc
@@ -177,7 +177,7 @@
     TimePoint now = steady_now();
     if (!idle_.empty()) {
       Duration age = now - idle_.back()->last_response_time();
-      if (repeatable || age <= config::kMaxOnceOnlyReuseAge) {
+      if (repeatable || age <= config::kMaxNonRepeatableReuseAge) {
         std::shared_ptr<HttpConnection> connection = std::move(idle_.back());
         idle_.pop_back();
         return connection;
