--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/registry.h"
 #include "fleet/requests_p.h"
 
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "fleet/learning.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/quarantine.h"
 #include "fleet/registry.h"
 #include "fleet/requests.h"
--- a/src/fleet/note.h
+++ b/src/fleet/log_event.h
@@ -1,5 +1,5 @@
-#ifndef EELGRASSPIN_FLEET_NOTE_H_
-#define EELGRASSPIN_FLEET_NOTE_H_
+#ifndef EELGRASSPIN_FLEET_LOG_EVENT_H_
+#define EELGRASSPIN_FLEET_LOG_EVENT_H_
 
 #include <initializer_list>
 
@@ -21,4 +21,4 @@
 
 }  // namespace eelgrasspin::fleet
 
-#endif  // EELGRASSPIN_FLEET_NOTE_H_
+#endif  // EELGRASSPIN_FLEET_LOG_EVENT_H_
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -5,7 +5,7 @@
 
 #include "fleet/election.h"
 #include "fleet/leases.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/peers.h"
 #include "fleet/registry.h"
 #include "fleet/replan.h"
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/ownership.h"
 #include "fleet/quarantine.h"
 #include "fleet/registry.h"
--- a/src/fleet/quarantine.cc
+++ b/src/fleet/quarantine.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 
 namespace eelgrasspin::fleet {
 
--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -1,7 +1,7 @@
 #include "fleet/reduce.h"
 
 #include "eelgrasspin/result.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/ownership.h"
 #include "fleet/peers.h"
 #include "fleet/registry.h"
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/peers.h"
 #include "fleet/quarantine.h"
 #include "fleet/requests.h"
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -5,7 +5,7 @@
 
 #include "fleet/learning.h"
 #include "fleet/leases.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/peers.h"
 #include "fleet/placement.h"
 #include "fleet/registry.h"
--- a/src/fleet/requests.cc
+++ b/src/fleet/requests.cc
@@ -5,7 +5,7 @@
 #include "fleet/budget.h"
 #include "fleet/duration.h"
 #include "fleet/learning.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/quarantine.h"
 #include "fleet/requests_p.h"
 
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "eelgrasspin/result.h"
-#include "fleet/note.h"
+#include "fleet/log_event.h"
 #include "fleet/peers.h"
 #include "fleet/registry.h"
 #include "fleet/requests.h"
