--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -5,18 +5,18 @@
 namespace eelgrasspin::soak {
 namespace {
 
-constexpr Duration kPause = milliseconds(25);
-constexpr Duration kDeadline = seconds(2);
+constexpr Duration kRequestDelay = milliseconds(25);
+constexpr Duration kRequestDeadline = seconds(2);
 /// Requests sent this long after a stop was ordered, or earlier, are owed an
 /// answer.
-constexpr Duration kOwedAfterStop = seconds(3);
-constexpr std::size_t kKeyedCallers = 3;
+constexpr Duration kMustAnswerAfterStop = seconds(3);
+constexpr std::size_t kKeyedCallersPerDaemon = 3;
 
-char letter(Callers::Kind kind) {
+char kind_letter(Callers::Kind kind) {
   switch (kind) {
     case Callers::Kind::kKeyed:
       return 'k';
-    case Callers::Kind::kOnce:
+    case Callers::Kind::kAtMostOnce:
       return 'o';
     case Callers::Kind::kVersion:
       return 'v';
@@ -29,16 +29,17 @@
 Callers::Callers(Fleet& fleet, std::uint32_t seed)
     : fleet_(fleet), random_(seed) {
   for (Daemon& daemon : fleet.daemons()) {
-    std::vector<Kind> kinds(kKeyedCallers, Kind::kKeyed);
-    kinds.insert(kinds.end(), {Kind::kOnce, Kind::kOnce, Kind::kVersion});
+    std::vector<Kind> kinds(kKeyedCallersPerDaemon, Kind::kKeyed);
+    kinds.insert(kinds.end(),
+                 {Kind::kAtMostOnce, Kind::kAtMostOnce, Kind::kVersion});
     for (Kind kind : kinds) {
       callers_.push_back(std::make_unique<Caller>(fleet.io(), daemon, kind));
-      next(*callers_.back(), kPause);
+      schedule_request(*callers_.back(), kRequestDelay);
     }
   }
 }
 
-std::size_t Callers::take_served(const Daemon& daemon) {
+std::size_t Callers::take_served_count(const Daemon& daemon) {
   std::size_t served = 0;
   for (auto& caller : callers_) {
     if (&caller->daemon == &daemon) served += std::exchange(caller->served, 0);
@@ -46,29 +47,29 @@
   return served;
 }
 
-void Callers::next(Caller& caller, Duration pause) {
+void Callers::schedule_request(Caller& caller, Duration delay) {
   if (stopped_) return;
-  caller.timer.expires_after(pause);
+  caller.timer.expires_after(delay);
   caller.timer.async_wait([this, &caller](boost::system::error_code failed) {
-    if (!failed) call(caller);
+    if (!failed) send_request(caller);
   });
 }
 
-void Callers::call(Caller& caller) {
+void Callers::send_request(Caller& caller) {
   if (!caller.connection || caller.connection->closed()) {
-    caller.connection =
-        io::make_http_connection(fleet_.io(), fleet_.callers(caller.daemon));
+    caller.connection = io::make_http_connection(
+        fleet_.io(), fleet_.caller_endpoint(caller.daemon));
   }
-  std::string id =
-      caller.daemon.name + "-" + letter(caller.kind) + std::to_string(++sent_);
-  bool once = caller.kind == Kind::kOnce;
+  std::string id = caller.daemon.name + "-" + kind_letter(caller.kind) +
+                   std::to_string(++sent_);
+  bool at_most_once = caller.kind == Kind::kAtMostOnce;
   io::HttpRequest request = {
-      once ? "POST" : "GET",
-      std::string("/") + letter(caller.kind) + "/x",
+      at_most_once ? "POST" : "GET",
+      std::string("/") + kind_letter(caller.kind) + "/x",
       {{"Host", "h"},
        {platform::kRequestIdHeader, id},
-       {platform::kDeadlineMsHeader, std::to_string(to_ms(kDeadline))}},
-      once ? "text" : "",
+       {platform::kDeadlineMsHeader, std::to_string(to_ms(kRequestDeadline))}},
+      at_most_once ? "text" : "",
       {}};
   if (caller.kind == Kind::kKeyed) {
     request.headers.emplace_back(
@@ -76,44 +77,47 @@
         std::to_string(
             std::uniform_int_distribution<std::uint32_t>(0, 65'535)(random_)));
   }
-  fleet_.promises().sent(id, !once);
+  fleet_.guarantees().request_sent(id, !at_most_once);
   caller.connection->exchange(
-      request, kDeadline + seconds(1),
-      [this, &caller, id, life = caller.daemon.starts,
+      request, kRequestDeadline + seconds(1),
+      [this, &caller, id, incarnation = caller.daemon.start_count,
        sent = io::steady_now()](const io::HttpResult& result) {
-        ended(caller, id, life, sent, result);
+        request_ended(caller, id, incarnation, sent, result);
       });
 }
 
-void Callers::ended(Caller& caller, const std::string& id, std::uint64_t life,
-                    TimePoint sent, const io::HttpResult& result) {
+void Callers::request_ended(Caller& caller, const std::string& id,
+                            std::uint64_t incarnation, TimePoint sent,
+                            const io::HttpResult& result) {
   const Daemon& daemon = caller.daemon;
   if (const auto* answer = std::get_if<io::HttpResponse>(&result)) {
     const std::string* stamp =
         io::find_header(answer->headers, platform::kResponseStampHeader);
     std::string server = stamp == nullptr ? "" : stamp->substr(6);
     std::string body =
-        "body of " + id + (caller.kind == Kind::kOnce ? " text" : " ");
-    fleet_.promises().answered(id, answer->status, server,
-                               answer->body == body);
+        "body of " + id + (caller.kind == Kind::kAtMostOnce ? " text" : " ");
+    fleet_.guarantees().response_received(id, answer->status, server,
+                                          answer->body == body);
     if (answer->status == 200) {
       ++caller.served;
-      if (caller.kind == Kind::kVersion && daemon.starts == life) {
-        fleet_.version_shown(
+      if (caller.kind == Kind::kVersion && daemon.start_count == incarnation) {
+        fleet_.version_service_reached(
             daemon, static_cast<std::size_t>(std::stoul(server.substr(9))));
       }
     }
-    return next(caller, kPause);
+    return schedule_request(caller, kRequestDelay);
   }
   const auto& failure = std::get<io::HttpFailure>(result);
-  bool cut = failure.kind == io::HttpFailureKind::kClosed ||
-             failure.kind == io::HttpFailureKind::kTruncated;
-  bool only_stopped = daemon.stop_ordered && daemon.starts == life &&
-                      sent - *daemon.stop_ordered < kOwedAfterStop &&
-                      sent - daemon.disturbed > kCalm;
-  if (cut && only_stopped) fleet_.promises().cut_by_stop(id);
+  bool closed_early = failure.kind == io::HttpFailureKind::kClosed ||
+                      failure.kind == io::HttpFailureKind::kTruncated;
+  bool answer_required =
+      daemon.stop_ordered_at && daemon.start_count == incarnation &&
+      sent - *daemon.stop_ordered_at < kMustAnswerAfterStop &&
+      sent - daemon.disturbed_at > kUndisturbedPeriod;
+  if (closed_early && answer_required)
+    fleet_.guarantees().lost_in_graceful_stop(id);
   caller.connection.reset();
-  next(caller, kPause * 2);
+  schedule_request(caller, kRequestDelay * 2);
 }
 
 }  // namespace eelgrasspin::soak
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -17,18 +17,18 @@
 class Callers {
  public:
   /// What a caller asks for.
-  enum class Kind { kKeyed, kOnce, kVersion };
+  enum class Kind { kKeyed, kAtMostOnce, kVersion };
 
   Callers(Fleet& fleet, std::uint32_t seed);
   /// Sends no more requests.
   void stop() { stopped_ = true; }
   /// Requests to this daemon that were answered 200 since the last call.
-  std::size_t take_served(const Daemon& daemon);
+  std::size_t take_served_count(const Daemon& daemon);
 
  private:
   struct Caller {
-    Caller(boost::asio::io_context& io, Daemon& target, Kind asks)
-        : daemon(target), kind(asks), timer(io) {}
+    Caller(boost::asio::io_context& io, Daemon& target, Kind request_kind)
+        : daemon(target), kind(request_kind), timer(io) {}
     Daemon& daemon;
     Kind kind;
     boost::asio::steady_timer timer;
@@ -36,10 +36,11 @@
     std::size_t served = 0;
   };
 
-  void next(Caller& caller, Duration pause);
-  void call(Caller& caller);
-  void ended(Caller& caller, const std::string& id, std::uint64_t life,
-             TimePoint sent, const io::HttpResult& result);
+  void schedule_request(Caller& caller, Duration delay);
+  void send_request(Caller& caller);
+  void request_ended(Caller& caller, const std::string& id,
+                     std::uint64_t incarnation, TimePoint sent,
+                     const io::HttpResult& result);
 
   Fleet& fleet_;
   std::mt19937 random_;
--- a/tests/soak/faults.cc
+++ b/tests/soak/faults.cc
@@ -7,54 +7,56 @@
 
 /// A leaving server serves on for this long after its notice, and its entry
 /// is removed this long after a crash.
-constexpr Duration kServesOn = milliseconds(3500);
-constexpr Duration kEntryLapses = milliseconds(2600);
+constexpr Duration kServesAfterDrainNotice = milliseconds(3500);
+constexpr Duration kEntryRemovedAfterCrash = milliseconds(2600);
 
 }  // namespace
 
-Faults::Faults(Fleet& fleet, std::uint32_t seed)
+FaultInjector::FaultInjector(Fleet& fleet, std::uint32_t seed)
     : fleet_(fleet),
       random_(seed),
       timer_(fleet.io()),
       started_(io::steady_now()) {
-  next();
+  schedule_next_fault();
 }
 
-std::uint32_t Faults::number(std::uint32_t most) {
-  return std::uniform_int_distribution<std::uint32_t>(0, most - 1)(random_);
+std::uint32_t FaultInjector::random_below(std::uint32_t limit) {
+  return std::uniform_int_distribution<std::uint32_t>(0, limit - 1)(random_);
 }
 
-Duration Faults::between(int least_ms, int most_ms) {
+Duration FaultInjector::random_duration(int min_ms, int max_ms) {
   return milliseconds(
-      std::uniform_int_distribution<int>(least_ms, most_ms)(random_));
+      std::uniform_int_distribution<int>(min_ms, max_ms)(random_));
 }
 
-void Faults::after(Duration delay, std::function<void()> act) {
-  boost::asio::steady_timer& timer = later_.emplace_back(fleet_.io());
+void FaultInjector::run_after(Duration delay, std::function<void()> action) {
+  boost::asio::steady_timer& timer = scheduled_.emplace_back(fleet_.io());
   timer.expires_after(delay);
-  timer.async_wait([act = std::move(act)](boost::system::error_code failed) {
-    if (!failed) act();
-  });
+  timer.async_wait(
+      [action = std::move(action)](boost::system::error_code failed) {
+        if (!failed) action();
+      });
 }
 
-void Faults::did(const std::string& what) {
+void FaultInjector::record(const std::string& what) {
   history_.push_back(std::to_string(to_ms(io::steady_now() - started_)) +
                      "ms " + what);
 }
 
-void Faults::next() {
+void FaultInjector::schedule_next_fault() {
   // Most faults overlap; at times there is calm in which time bounds hold.
-  Duration pause = number(5) == 0 ? between(4000, 6000) : between(150, 1200);
+  Duration pause = random_below(5) == 0 ? random_duration(4000, 6000)
+                                        : random_duration(150, 1200);
   timer_.expires_after(pause);
   timer_.async_wait([this](boost::system::error_code failed) {
     if (failed || stopped_) return;
-    draw();
-    next();
+    inject_random_fault();
+    schedule_next_fault();
   });
 }
 
-void Faults::draw() {
-  switch (number(10)) {
+void FaultInjector::inject_random_fault() {
+  switch (random_below(10)) {
     case 0:
     case 1:
     case 2:
@@ -72,67 +74,70 @@
   }
 }
 
-void Faults::daemon_fault() {
-  auto which = number(static_cast<std::uint32_t>(fleet_.daemons().size()));
+void FaultInjector::daemon_fault() {
+  auto which =
+      random_below(static_cast<std::uint32_t>(fleet_.daemons().size()));
   Daemon& daemon = fleet_.daemons()[which];
-  Duration length = between(200, 1500);
-  Duration pause = between(200, 5000);
-  switch (number(6)) {
+  Duration duration = random_duration(200, 1500);
+  Duration pause = random_duration(200, 5000);
+  switch (random_below(6)) {
     case 0:
-      did("kill " + daemon.name);
+      record("kill " + daemon.name);
       fleet_.signal(daemon, SIGKILL);
-      return after(length, [this, &daemon] {
+      return run_after(duration, [this, &daemon] {
         if (!fleet_.running(daemon)) fleet_.start(daemon);
       });
     case 1:
     case 2:
-      did("pause " + daemon.name + " " + std::to_string(to_ms(pause)) + "ms");
+      record("pause " + daemon.name + " " + std::to_string(to_ms(pause)) +
+             "ms");
       fleet_.signal(daemon, SIGSTOP);
-      return after(pause, [this, &daemon] { fleet_.signal(daemon, SIGCONT); });
+      return run_after(pause,
+                       [this, &daemon] { fleet_.signal(daemon, SIGCONT); });
     case 3:
-      did("stop " + daemon.name);
+      record("stop " + daemon.name);
       return stop_and_start(daemon);
     case 4:
-      did("reload " + daemon.name);
+      record("reload " + daemon.name);
       return fleet_.signal(daemon, SIGHUP);
     default:
-      return number(3) == 0 ? kill_all(length) : stop_and_start(daemon);
+      return random_below(3) == 0 ? kill_all(duration) : stop_and_start(daemon);
   }
 }
 
-void Faults::stop_and_start(Daemon& daemon) {
-  if (daemon.paused || daemon.stop_ordered) return;
+void FaultInjector::stop_and_start(Daemon& daemon) {
+  if (daemon.paused || daemon.stop_ordered_at) return;
   fleet_.signal(daemon, SIGTERM);
-  after(seconds(7), [this, &daemon] {
+  run_after(seconds(7), [this, &daemon] {
     if (!fleet_.running(daemon)) fleet_.start(daemon);
   });
 }
 
-void Faults::kill_all(Duration down) {
-  did("kill all");
+void FaultInjector::kill_all(Duration down) {
+  record("kill all");
   for (Daemon& daemon : fleet_.daemons()) fleet_.signal(daemon, SIGKILL);
-  after(down, [this] {
+  run_after(down, [this] {
     for (Daemon& daemon : fleet_.daemons()) {
       if (!fleet_.running(daemon)) fleet_.start(daemon);
     }
   });
 }
 
-void Faults::backend_fault() {
+void FaultInjector::backend_fault() {
   // The servers that show versions stay: each has its service to itself.
   std::vector<Backend*> candidates;
   for (Backend& backend : fleet_.backends()) {
     bool shows_version = backend.service.starts_with("version");
-    if (!shows_version && backend.server->up() && !backend.leaving_since) {
+    if (!shows_version && backend.server->up() && !backend.draining_since) {
       candidates.push_back(&backend);
     }
   }
   if (candidates.size() < 3) return;
   Backend& backend =
-      *candidates[number(static_cast<std::uint32_t>(candidates.size()))];
-  switch (number(3)) {
+      *candidates[random_below(static_cast<std::uint32_t>(candidates.size()))];
+  switch (random_below(3)) {
     case 0:
-      return leave(backend);
+      return drain(backend);
     case 1:
       return crash(backend, true);
     default:
@@ -140,94 +145,98 @@
   }
 }
 
-void Faults::leave(Backend& backend) {
-  did("drain " + backend.server->name());
-  backend.leaving_since = io::steady_now();
-  fleet_.list(backend, "draining");
-  after(kServesOn, [this, &backend] {
+void FaultInjector::drain(Backend& backend) {
+  record("drain " + backend.server->name());
+  backend.draining_since = io::steady_now();
+  fleet_.publish_entry(backend, "draining");
+  run_after(kServesAfterDrainNotice, [this, &backend] {
     backend.server->crash();
-    fleet_.unlist(backend);
-  });
-  after(kServesOn + between(1000, 4000), [this, &backend] {
-    backend.server->start();
-    fleet_.list(backend, "ready");
+    fleet_.remove_entry(backend);
   });
+  run_after(kServesAfterDrainNotice + random_duration(1000, 4000),
+            [this, &backend] {
+              backend.server->start();
+              fleet_.publish_entry(backend, "ready");
+            });
 }
 
-void Faults::crash(Backend& backend, bool at_once) {
-  did("crash " + backend.server->name() + (at_once ? ", starts again" : ""));
+void FaultInjector::crash(Backend& backend, bool restarts_at_once) {
+  record("crash " + backend.server->name() +
+         (restarts_at_once ? ", starts again" : ""));
   backend.server->crash();
-  if (!at_once) {
-    after(kEntryLapses, [this, &backend] { fleet_.unlist(backend); });
+  if (!restarts_at_once) {
+    run_after(kEntryRemovedAfterCrash,
+              [this, &backend] { fleet_.remove_entry(backend); });
   }
-  Duration down = at_once ? between(50, 600) : between(3000, 6000);
-  after(down, [this, &backend] {
+  Duration down =
+      restarts_at_once ? random_duration(50, 600) : random_duration(3000, 6000);
+  run_after(down, [this, &backend] {
     backend.server->start();
-    fleet_.list(backend, "ready");
+    fleet_.publish_entry(backend, "ready");
   });
 }
 
-void Faults::store_fault() {
+void FaultInjector::store_fault() {
   platform::StoreStandin& store = fleet_.store();
-  std::uint32_t kind = number(3);
+  std::uint32_t kind = random_below(3);
   static const char* const kNames[] = {"down", "silent", "loses answers"};
-  did(std::string("store ") + kNames[kind]);
+  record(std::string("store ") + kNames[kind]);
   bool* faults[] = {&store.down, &store.silent, &store.loses_answers};
   bool* fault = faults[kind];
   *fault = true;
-  fleet_.store_disturbed();
-  after(between(500, 4000), [this, fault] {
+  fleet_.note_environment_disturbed();
+  run_after(random_duration(500, 4000), [this, fault] {
     *fault = false;
-    fleet_.store_disturbed();
+    fleet_.note_environment_disturbed();
   });
 }
 
-void Faults::link_fault() {
+void FaultInjector::link_fault() {
   static constexpr LinkFault kFaults[] = {
       LinkFault::kDelayed, LinkFault::kRefused, LinkFault::kAnswersLost,
       LinkFault::kSilent};
   static const char* const kNames[] = {"delayed", "reset", "cut one way",
                                        "silent"};
-  std::uint32_t kind = number(4);
-  bool to_store = number(2) == 0;
+  std::uint32_t kind = random_below(4);
+  bool to_store = random_below(2) == 0;
   auto daemons = static_cast<std::uint32_t>(fleet_.daemons().size());
   auto backends = static_cast<std::uint32_t>(fleet_.backends().size());
-  std::uint32_t which = number(to_store ? daemons : backends);
-  Proxy& link = to_store ? *fleet_.daemons()[which].store_link
-                         : *fleet_.backends()[which].link;
-  did(std::string("link ") + kNames[kind] + " " +
-      (to_store ? fleet_.daemons()[which].name
-                : fleet_.backends()[which].server->name()));
-  link.set_fault(kFaults[kind], between(20, 150));
-  fleet_.store_disturbed();
-  after(between(300, 4000), [this, &link] {
-    link.set_fault(LinkFault::kNone);
-    fleet_.store_disturbed();
+  std::uint32_t which = random_below(to_store ? daemons : backends);
+  Proxy& proxy = to_store ? *fleet_.daemons()[which].store_proxy
+                          : *fleet_.backends()[which].proxy;
+  record(std::string("link ") + kNames[kind] + " " +
+         (to_store ? fleet_.daemons()[which].name
+                   : fleet_.backends()[which].server->name()));
+  proxy.set_fault(kFaults[kind], random_duration(20, 150));
+  fleet_.note_environment_disturbed();
+  run_after(random_duration(300, 4000), [this, &proxy] {
+    proxy.set_fault(LinkFault::kNone);
+    fleet_.note_environment_disturbed();
   });
 }
 
-void Faults::configuration_change() {
-  std::uint32_t count = number(4) == 0 ? 5 : 1;
-  did("configuration, " + std::to_string(count) + " times");
+void FaultInjector::configuration_change() {
+  std::uint32_t count = random_below(4) == 0 ? 5 : 1;
+  record("configuration, " + std::to_string(count) + " times");
   for (std::uint32_t i = 0; i < count; ++i) {
-    after(milliseconds(120) * i, [this] { fleet_.publish(); });
+    run_after(milliseconds(120) * i, [this] { fleet_.publish(); });
   }
 }
 
-void Faults::heal() {
-  later_.clear();
+void FaultInjector::heal() {
+  scheduled_.clear();
   fleet_.store().down = false;
   fleet_.store().silent = false;
   fleet_.store().loses_answers = false;
   for (Daemon& daemon : fleet_.daemons()) {
-    daemon.store_link->set_fault(LinkFault::kNone);
+    daemon.store_proxy->set_fault(LinkFault::kNone);
     fleet_.signal(daemon, SIGCONT);
     if (!fleet_.running(daemon)) fleet_.start(daemon);
   }
   for (Backend& backend : fleet_.backends()) {
-    backend.link->set_fault(LinkFault::kNone);
+    backend.proxy->set_fault(LinkFault::kNone);
     if (!backend.server->up()) backend.server->start();
-    fleet_.list(backend, "ready");
+    fleet_.publish_entry(backend, "ready");
   }
 }
 
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -14,9 +14,9 @@
 
 /// Draws faults from a seed and brings them about, one after the other and
 /// overlapping. The same seed draws the same faults at the same times.
-class Faults {
+class FaultInjector {
  public:
-  Faults(Fleet& fleet, std::uint32_t seed);
+  FaultInjector(Fleet& fleet, std::uint32_t seed);
   /// Draws no more; faults in force end as they were to.
   void stop() { stopped_ = true; }
   /// Ends what is still in force and starts what is down.
@@ -25,8 +25,8 @@
   const std::vector<std::string>& history() const { return history_; }
 
  private:
-  void next();
-  void draw();
+  void schedule_next_fault();
+  void inject_random_fault();
   void daemon_fault();
   void backend_fault();
   void store_fault();
@@ -34,18 +34,18 @@
   void configuration_change();
   void stop_and_start(Daemon& daemon);
   void kill_all(Duration down);
-  void leave(Backend& backend);
-  void crash(Backend& backend, bool at_once);
+  void drain(Backend& backend);
+  void crash(Backend& backend, bool restarts_at_once);
 
-  std::uint32_t number(std::uint32_t most);
-  Duration between(int least_ms, int most_ms);
-  void after(Duration delay, std::function<void()> act);
-  void did(const std::string& what);
+  std::uint32_t random_below(std::uint32_t limit);
+  Duration random_duration(int min_ms, int max_ms);
+  void run_after(Duration delay, std::function<void()> action);
+  void record(const std::string& what);
 
   Fleet& fleet_;
   std::mt19937 random_;
   boost::asio::steady_timer timer_;
-  std::list<boost::asio::steady_timer> later_;
+  std::list<boost::asio::steady_timer> scheduled_;
   std::vector<std::string> history_;
   TimePoint started_;
   bool stopped_ = false;
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -15,11 +15,11 @@
 namespace options = boost::program_options;
 
 /// The system serves again this long after the last fault.
-constexpr Duration kRecovery = seconds(15);
+constexpr Duration kRecoveryLimit = seconds(15);
 /// A loop that stands still for this long says that the machine is too busy for
 /// time bounds.
-constexpr Duration kLag = milliseconds(250);
-constexpr int kExitBroken = 1;
+constexpr Duration kMaxLoopLag = milliseconds(250);
+constexpr int kExitViolated = 1;
 constexpr int kExitUsage = 2;
 
 struct Plan {
@@ -31,25 +31,26 @@
   unsigned seconds_of_faults = 20;
 };
 
-void run_for(Fleet& fleet, Duration length) {
-  TimePoint end = io::steady_now() + length;
+void run_for(Fleet& fleet, Duration duration) {
+  TimePoint end = io::steady_now() + duration;
   while (io::steady_now() < end) {
     TimePoint before = io::steady_now();
     fleet.io().run_for(std::chrono::milliseconds(10));
     fleet.io().restart();
-    if (io::steady_now() - before > kLag) fleet.busy();
+    if (io::steady_now() - before > kMaxLoopLag) fleet.note_machine_busy();
     for (Daemon& daemon : fleet.daemons()) (void)fleet.running(daemon);
   }
 }
 
 /// Every daemon has answered requests; runs at most until `limit`.
-bool all_serve(Fleet& fleet, Callers& callers, Duration limit) {
+bool wait_until_all_serve(Fleet& fleet, Callers& callers, Duration limit) {
   std::vector<bool> served(fleet.daemons().size());
   for (TimePoint end = io::steady_now() + limit; io::steady_now() < end;) {
     run_for(fleet, milliseconds(200));
     bool all = true;
     for (std::size_t i = 0; i < served.size(); ++i) {
-      served[i] = served[i] || callers.take_served(fleet.daemons()[i]) > 5;
+      served[i] =
+          served[i] || callers.take_served_count(fleet.daemons()[i]) > 5;
       all = all && served[i];
     }
     if (all) return true;
@@ -63,28 +64,30 @@
   boost::asio::io_context io;
   Fleet fleet(io, plan.daemons, plan.program, folder);
   Callers callers(fleet, seed);
-  Promises& promises = fleet.promises();
-  if (!all_serve(fleet, callers, kRecovery)) {
-    promises.not_recovered("the start");
+  GuaranteeChecker& guarantees = fleet.guarantees();
+  if (!wait_until_all_serve(fleet, callers, kRecoveryLimit)) {
+    guarantees.not_recovered("the start");
   }
-  Faults faults(fleet, seed);
+  FaultInjector faults(fleet, seed);
   run_for(fleet, seconds(plan.seconds_of_faults));
   faults.stop();
   // Processes that were told to stop end by themselves.
   run_for(fleet, seconds(7));
   faults.heal();
-  for (Daemon& daemon : fleet.daemons()) (void)callers.take_served(daemon);
-  if (!all_serve(fleet, callers, kRecovery)) promises.not_recovered("the end");
+  for (Daemon& daemon : fleet.daemons())
+    (void)callers.take_served_count(daemon);
+  if (!wait_until_all_serve(fleet, callers, kRecoveryLimit))
+    guarantees.not_recovered("the end");
   callers.stop();
   run_for(fleet, seconds(3));
-  promises.finish();
-  bool kept = promises.broken().empty();
+  guarantees.finish();
+  bool kept = guarantees.violations().empty();
   std::cout << "seed " << seed << ": " << (kept ? "kept" : "BROKEN")
-            << ", requests=" << promises.requests()
-            << " served=" << promises.served()
+            << ", requests=" << guarantees.requests()
+            << " served=" << guarantees.served()
             << " faults=" << faults.history().size() << std::endl;
-  for (const std::string& broken : promises.broken()) {
-    std::cout << "  " << broken << "\n";
+  for (const std::string& violation : guarantees.violations()) {
+    std::cout << "  " << violation << "\n";
   }
   if (kept) {
     std::filesystem::remove_all(folder);
@@ -97,7 +100,7 @@
   return kept;
 }
 
-int run(int count, char** words) {
+int run(int argc, char** argv) {
   Plan plan;
   options::options_description all("eelsoak");
   all.add_options()("help", "show this")(
@@ -114,32 +117,32 @@
       "time with faults, for each seed");
   try {
     options::variables_map given;
-    options::store(options::parse_command_line(count, words, all), given);
+    options::store(options::parse_command_line(argc, argv, all), given);
     if (given.count("help") > 0) {
       std::cout << all;
       return 0;
     }
     options::notify(given);
-  } catch (const options::error& wrong) {
-    std::cerr << "eelsoak: " << wrong.what() << "\n" << all;
+  } catch (const options::error& failure) {
+    std::cerr << "eelsoak: " << failure.what() << "\n" << all;
     return kExitUsage;
   }
   if (plan.daemons < 2 || plan.daemons > 200) {
     std::cerr << "eelsoak: --daemons takes 2 to 200\n";
     return kExitUsage;
   }
-  std::size_t broken = 0;
+  std::size_t failed = 0;
   for (std::size_t i = 0; i < plan.seeds; ++i) {
-    if (!run_seed(plan, plan.seed + static_cast<std::uint32_t>(i))) ++broken;
+    if (!run_seed(plan, plan.seed + static_cast<std::uint32_t>(i))) ++failed;
   }
-  std::cout << plan.seeds << " seeds, " << broken << " broken" << std::endl;
-  return broken == 0 ? 0 : kExitBroken;
+  std::cout << plan.seeds << " seeds, " << failed << " broken" << std::endl;
+  return failed == 0 ? 0 : kExitViolated;
 }
 
 }  // namespace
 }  // namespace eelgrasspin::soak
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   ::signal(SIGPIPE, SIG_IGN);
-  return eelgrasspin::soak::run(count, words);
+  return eelgrasspin::soak::run(argc, argv);
 }
--- a/tests/soak/proxy.cc
+++ b/tests/soak/proxy.cc
@@ -13,64 +13,65 @@
 using boost::system::error_code;
 
 /// One connection and its continuation to the target.
-class Proxy::Pair : public std::enable_shared_from_this<Proxy::Pair> {
+class Proxy::Connection
+    : public std::enable_shared_from_this<Proxy::Connection> {
  public:
-  Pair(Proxy& proxy, tcp::socket caller)
+  Connection(Proxy& proxy, tcp::socket client)
       : proxy_(&proxy),
-        caller_(std::move(caller)),
+        client_(std::move(client)),
         target_(proxy.io_),
         timers_{asio::steady_timer(proxy.io_), asio::steady_timer(proxy.io_)} {}
 
   void start() {
     target_.async_connect(proxy_->target_,
                           [self = shared_from_this()](error_code failed) {
-                            if (failed) return self->end();
-                            self->pump(0);
-                            self->pump(1);
+                            if (failed) return self->reset();
+                            self->read(0);
+                            self->read(1);
                           });
   }
 
   /// Once harmed, a connection stays so: what it lost does not come back.
-  void harm(LinkFault fault) {
-    if (fault == LinkFault::kRefused) return end();
+  void apply_fault(LinkFault fault) {
+    if (fault == LinkFault::kRefused) return reset();
     if (fault == LinkFault::kSilent) silent_ = true;
     if (fault == LinkFault::kAnswersLost) answers_lost_ = true;
   }
 
-  void end() {
+  void reset() {
     if (proxy_ == nullptr) return;
     error_code ignored;
     // An abrupt end, as of a process that was killed.
-    caller_.set_option(asio::socket_base::linger(true, 0), ignored);
+    client_.set_option(asio::socket_base::linger(true, 0), ignored);
     close();
   }
 
   void close() {
     if (proxy_ == nullptr) return;
     error_code ignored;
-    caller_.close(ignored);
+    client_.close(ignored);
     target_.close(ignored);
     for (auto& timer : timers_) timer.cancel();
     auto self = shared_from_this();
-    std::exchange(proxy_, nullptr)->pairs_.erase(self);
+    std::exchange(proxy_, nullptr)->connections_.erase(self);
   }
 
  private:
   /// Direction 0 is from the caller to the target, 1 the way back.
-  void pump(std::size_t direction) {
-    tcp::socket& from = direction == 0 ? caller_ : target_;
+  void read(std::size_t direction) {
+    tcp::socket& from = direction == 0 ? client_ : target_;
     from.async_read_some(asio::buffer(buffers_[direction]),
                          [self = shared_from_this(), direction](
                              error_code failed, std::size_t count) {
                            if (self->proxy_ == nullptr) return;
                            if (failed)
                              return self->silent_ ? void() : self->close();
-                           self->pass_on(direction, count);
+                           self->forward(direction, count);
                          });
   }
 
-  void pass_on(std::size_t direction, std::size_t count) {
-    if (silent_ || (direction == 1 && answers_lost_)) return pump(direction);
+  void forward(std::size_t direction, std::size_t count) {
+    if (silent_ || (direction == 1 && answers_lost_)) return read(direction);
     Duration delay =
         proxy_->fault_ == LinkFault::kDelayed ? proxy_->delay_ : Duration(0);
     timers_[direction].expires_after(delay);
@@ -82,19 +83,19 @@
   }
 
   void write(std::size_t direction, std::size_t count) {
-    if (silent_) return pump(direction);
-    tcp::socket& to = direction == 0 ? target_ : caller_;
+    if (silent_) return read(direction);
+    tcp::socket& to = direction == 0 ? target_ : client_;
     asio::async_write(
         to, asio::buffer(buffers_[direction], count),
         [self = shared_from_this(), direction](error_code failed, std::size_t) {
           if (self->proxy_ == nullptr) return;
           if (failed) return self->close();
-          self->pump(direction);
+          self->read(direction);
         });
   }
 
   Proxy* proxy_;
-  tcp::socket caller_;
+  tcp::socket client_;
   tcp::socket target_;
   std::array<asio::steady_timer, 2> timers_;
   std::array<std::array<char, 16'384>, 2> buffers_{};
@@ -110,8 +111,8 @@
 }
 
 Proxy::~Proxy() {
-  auto pairs = pairs_;
-  for (const auto& pair : pairs) pair->end();
+  auto connections = connections_;
+  for (const auto& connection : connections) connection->reset();
 }
 
 Endpoint Proxy::endpoint() const {
@@ -122,18 +123,18 @@
 void Proxy::set_fault(LinkFault fault, Duration delay) {
   fault_ = fault;
   delay_ = delay;
-  auto pairs = pairs_;
-  for (const auto& pair : pairs) pair->harm(fault);
+  auto connections = connections_;
+  for (const auto& connection : connections) connection->apply_fault(fault);
 }
 
 void Proxy::accept() {
   acceptor_.async_accept([this](error_code failed, tcp::socket socket) {
     if (failed == asio::error::operation_aborted) return;
     if (!failed && fault_ != LinkFault::kRefused) {
-      auto pair = std::make_shared<Pair>(*this, std::move(socket));
-      pairs_.insert(pair);
-      pair->harm(fault_);
-      pair->start();
+      auto connection = std::make_shared<Connection>(*this, std::move(socket));
+      connections_.insert(connection);
+      connection->apply_fault(fault_);
+      connection->start();
     }
     accept();
   });
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -35,13 +35,13 @@
   Duration delay() const { return delay_; }
 
  private:
-  class Pair;
+  class Connection;
   void accept();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint target_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::set<std::shared_ptr<Pair>> pairs_;
+  std::set<std::shared_ptr<Connection>> connections_;
   LinkFault fault_ = LinkFault::kNone;
   Duration delay_{0};
 };
