--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -7,8 +7,8 @@
 
 constexpr Duration kRequestDelay = milliseconds(25);
 constexpr Duration kRequestDeadline = seconds(2);
-/// Requests sent this long after a stop was ordered, or earlier, are owed an
-/// answer.
+/// A daemon must still answer requests that were sent less than this time after
+/// it was ordered to stop.
 constexpr Duration kMustAnswerAfterStop = seconds(3);
 constexpr std::size_t kKeyedCallersPerDaemon = 3;
 
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -12,17 +12,19 @@
 
 namespace eelgrasspin::soak {
 
-/// Callers that send one request after the other on a connection that they
-/// keep until it breaks or is closed.
+/// Simulated callers. Each sends its requests to one daemon, one at a time, and
+/// reuses its connection until that fails or is closed.
 class Callers {
  public:
-  /// What a caller asks for.
+  /// The operation that a caller requests: one with a key, one that runs at
+  /// most once, or one whose answer tells the configuration version in force.
   enum class Kind { kKeyed, kAtMostOnce, kVersion };
 
   Callers(Fleet& fleet, std::uint32_t seed);
-  /// Sends no more requests.
+  /// Stops sending new requests; answers to open ones are still checked.
   void stop() { stopped_ = true; }
-  /// Requests to this daemon that were answered 200 since the last call.
+  /// Number of requests to this daemon that were answered 200 since the last
+  /// call.
   std::size_t take_served_count(const Daemon& daemon);
 
  private:
--- a/tests/soak/faults.cc
+++ b/tests/soak/faults.cc
@@ -5,9 +5,9 @@
 namespace eelgrasspin::soak {
 namespace {
 
-/// A leaving server serves on for this long after its notice, and its entry
-/// is removed this long after a crash.
+/// A draining server continues to serve for this long after its notice.
 constexpr Duration kServesAfterDrainNotice = milliseconds(3500);
+/// A crashed server's entry is removed from the store after this time.
 constexpr Duration kEntryRemovedAfterCrash = milliseconds(2600);
 
 }  // namespace
@@ -44,7 +44,8 @@
 }
 
 void FaultInjector::schedule_next_fault() {
-  // Most faults overlap; at times there is calm in which time bounds hold.
+  // Most faults overlap; now and then a longer pause leaves an undisturbed
+  // period, in which time bounds are checked.
   Duration pause = random_below(5) == 0 ? random_duration(4000, 6000)
                                         : random_duration(150, 1200);
   timer_.expires_after(pause);
@@ -124,7 +125,7 @@
 }
 
 void FaultInjector::backend_fault() {
-  // The servers that show versions stay: each has its service to itself.
+  // Each version service has only one server, so these are left out.
   std::vector<Backend*> candidates;
   for (Backend& backend : fleet_.backends()) {
     bool shows_version = backend.service.starts_with("version");
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -12,16 +12,16 @@
 
 namespace eelgrasspin::soak {
 
-/// Draws faults from a seed and brings them about, one after the other and
-/// overlapping. The same seed draws the same faults at the same times.
+/// Injects random faults, which may overlap. The same seed gives the same
+/// faults at the same times.
 class FaultInjector {
  public:
   FaultInjector(Fleet& fleet, std::uint32_t seed);
-  /// Draws no more; faults in force end as they were to.
+  /// Injects no further faults; those in force end at their scheduled times.
   void stop() { stopped_ = true; }
-  /// Ends what is still in force and starts what is down.
+  /// Ends all faults in force and starts every process and server that is down.
   void heal();
-  /// What was done, with the time since the start.
+  /// The injected faults in order, each with the time since the start.
   const std::vector<std::string>& history() const { return history_; }
 
  private:
--- a/tests/soak/fleet.cc
+++ b/tests/soak/fleet.cc
@@ -22,13 +22,14 @@
 constexpr int kPeerPort = 18'082;
 constexpr std::size_t kZones = 2;
 constexpr Duration kExecutionTime = milliseconds(15);
-/// Long enough that requests which may run once are under way at most faults.
+/// Long enough that at-most-once requests are in progress when most faults
+/// begin.
 constexpr Duration kAtMostOnceExecutionTime = milliseconds(150);
 constexpr std::size_t kKeyedServers = 4;
 constexpr std::size_t kAtMostOnceServers = 3;
 
-/// Loopback addresses of this process's own, so that soaks can run side by
-/// side.
+/// A loopback address that depends on the process id, so that several soaks can
+/// run on one machine.
 std::string address(std::size_t index) {
   auto pid = static_cast<unsigned>(::getpid());
   return "127." + std::to_string(64 + pid / 256 % 128) + "." +
@@ -257,7 +258,7 @@
 
 void Fleet::version_service_reached(const Daemon& daemon,
                                     std::size_t service_index) {
-  // The newest version that leads to this service.
+  // The newest version that routes to this service.
   for (std::size_t i = published_versions_.size(); i-- > 0;) {
     if (published_versions_[i].version % kVersionServices != service_index)
       continue;
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -18,12 +18,13 @@
 
 inline constexpr char kKeyedService[] = "board";
 inline constexpr char kAtMostOnceService[] = "book";
-/// Services that the versions of the configuration take turns in.
+/// Services of which each configuration version routes "/v/" to one, in turn,
+/// so that an answer tells which version the daemon uses.
 inline constexpr std::size_t kVersionServices = 8;
-/// Calm that has to precede a moment for time bounds to hold in it.
+/// Time bounds are checked only after this long without a disturbance.
 inline constexpr Duration kUndisturbedPeriod = seconds(3);
 
-/// One daemon: the real program as a process of its own.
+/// One daemon: the real program in a separate process.
 struct Daemon {
   std::string name;
   std::string ip;
@@ -32,7 +33,7 @@
   std::uint64_t start_count = 0;
   bool paused = false;
   std::optional<TimePoint> stop_ordered_at;
-  /// Last moment at which anything but an ordered stop was done to it.
+  /// Last start, kill, pause or resume. Ordered stops and reloads do not count.
   TimePoint disturbed_at;
   std::unique_ptr<Proxy> store_proxy;
 };
@@ -46,8 +47,8 @@
   TimePoint disturbed_at;
 };
 
-/// Daemons, backend servers and the store, and the promises that hold between
-/// them. Processes are ended by their ids, none but those started here.
+/// The daemons, backend servers and store under test, and the checker of their
+/// guarantees. Signals only processes that it started, by their ids.
 class Fleet {
  public:
   Fleet(boost::asio::io_context& io, std::size_t daemons, std::string program,
@@ -61,9 +62,13 @@
   std::deque<Backend>& backends() { return backends_; }
 
   void start(Daemon& daemon);
+  /// Sends a signal if the process runs. SIGTERM counts as an ordered stop; any
+  /// other signal but SIGHUP disturbs the daemon.
   void signal(Daemon& daemon, int signal_number);
-  /// Notices processes that have ended. True if this one runs.
+  /// True while the process runs. Reaps it if it has ended, and reports an
+  /// unexpected end.
   bool running(Daemon& daemon);
+  /// Writes the server's entry with this state, "ready" or "draining".
   void publish_entry(Backend& backend, const char* state);
   void remove_entry(Backend& backend);
   /// Publishes the next version of the configuration.
@@ -71,14 +76,17 @@
 
   Endpoint caller_endpoint(const Daemon& daemon) const;
   Endpoint ready_endpoint(const Daemon& daemon) const;
-  /// A run of a request to "/v/" at this service shows the version in force.
+  /// The daemon routed a request for "/v/" to this version service, which tells
+  /// the configuration version that it uses.
   void version_service_reached(const Daemon& daemon, std::size_t service_index);
+  /// A fault of the store or of a link has begun or ended.
   void note_environment_disturbed();
-  /// Nothing has been done to the daemon, the store or a link for kCalm.
+  /// Time bounds apply to the daemon: no fault is in force, it has not been
+  /// ordered to stop, and nothing has been disturbed for kUndisturbedPeriod.
   bool undisturbed(const Daemon& daemon) const;
-  /// The daemon that a request was sent to; ids begin with its name.
+  /// The daemon that a request was sent to. Request ids begin with its name.
   const Daemon& daemon_of(const std::string& id) const;
-  /// The machine was too busy for time bounds to be meaningful.
+  /// The machine is too busy for time bounds to be meaningful.
   void note_machine_busy();
 
  private:
@@ -109,8 +117,8 @@
   std::deque<Backend> backends_;
   std::vector<HighestGrant> highest_grants_;  ///< By key.
   std::vector<PublishedVersion> published_versions_;
-  TimePoint
-      environment_disturbed_at_;  ///< The store, a link or the whole machine.
+  /// Last disturbance of the store, a link or the whole machine.
+  TimePoint environment_disturbed_at_;
 };
 
 }  // namespace eelgrasspin::soak
--- a/tests/soak/guarantee_checker.cc
+++ b/tests/soak/guarantee_checker.cc
@@ -5,8 +5,9 @@
 namespace eelgrasspin::soak {
 namespace {
 
-/// A leaving server gets nothing more from then on, and a configuration is in
-/// force; the platform's usual bound, and some scheduling of a busy machine.
+/// Time until every daemon has stopped sending to a draining server or uses a
+/// new configuration: the platform's usual bound, with a margin for scheduling
+/// on a busy machine.
 constexpr Duration kPropagationLimit = milliseconds(2300);
 constexpr std::size_t kMaxReported = 20;
 
--- a/tests/soak/guarantee_checker.h
+++ b/tests/soak/guarantee_checker.h
@@ -11,40 +11,44 @@
 
 namespace eelgrasspin::soak {
 
-/// What callers and backend servers see, checked against what the system
-/// promises. Knows no network and no clock.
+/// Checks what callers and backend servers observe against the guarantees of
+/// the system. Uses neither network nor clock.
 class GuaranteeChecker {
  public:
-  /// A caller sends a request; one that is not repeatable may run once.
+  /// A caller sends a request. One that is not repeatable runs at most once.
   void request_sent(const std::string& id, bool repeatable);
-  /// A server begins to run it. `holders` are all servers that hold its key.
+  /// A server starts to execute a request. `holders` are all servers that hold
+  /// its key.
   void execution_started(const std::string& id, const std::string& server,
                          const std::vector<std::string>& holders);
-  /// A grant arrives with an epoch that another server has seen as `seen`.
+  /// A server receives a grant of a key of which another server has received a
+  /// grant at `other_epoch`.
   void grant_received(const std::string& server, std::uint64_t epoch,
                       std::uint64_t other_epoch);
-  /// A server that has been leaving for `since` is sent a request, through a
-  /// daemon that nothing disturbs if `in_touch`.
+  /// A server executes a request `draining_time` after it began to drain.
+  /// `undisturbed` tells whether time bounds apply to the daemon that sent it.
   void execution_started_while_draining(const std::string& id,
                                         const std::string& server,
                                         Duration draining_time,
                                         bool undisturbed);
-  /// The caller has its answer.
+  /// The caller receives its answer. `server` is the one that the answer names.
   void response_received(const std::string& id, int status,
                          const std::string& server, bool body_correct);
-  /// The connection ended without an answer, around a stop in good order and
-  /// nothing else.
+  /// The connection ended without the answer that the daemon still had to give:
+  /// its graceful stop was the only disturbance.
   void lost_in_graceful_stop(const std::string& id);
-  /// A process serves by a version of the configuration, `behind` after a
-  /// later one was published.
+  /// A process uses a configuration version. `outdated_for` is the time since
+  /// the next one was published, if any.
   void version_observed(const std::string& process, std::uint64_t version,
                         std::optional<Duration> outdated_for, bool undisturbed);
-  /// A process ended that nobody had ended, or not in good order.
+  /// A process ended that was neither killed nor ordered to stop, or it was
+  /// ordered to stop and failed.
   void ended_unexpectedly(const std::string& process, int status);
-  /// The faults are over for long and something is still not served.
+  /// The system did not serve in time at the start or after the last fault, or
+  /// a process could not be started.
   void not_recovered(const std::string& what);
 
-  /// Checks what only the end shows; call once.
+  /// Checks the guarantees that need all requests to have ended. Call once.
   void finish();
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t requests() const { return requests_.size(); }
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -8,16 +8,16 @@
 #include "tests/soak/faults.h"
 #include "tests/soak/fleet.h"
 
-/// Randomized faults against the real program on loopback.
+/// Runs the real program on loopback under randomized faults.
 namespace eelgrasspin::soak {
 namespace {
 
 namespace options = boost::program_options;
 
-/// The system serves again this long after the last fault.
+/// All daemons serve within this time of the start and of the last fault.
 constexpr Duration kRecoveryLimit = seconds(15);
-/// A loop that stands still for this long says that the machine is too busy for
-/// time bounds.
+/// If one iteration of the event loop takes longer than this, the machine is
+/// too busy for time bounds.
 constexpr Duration kMaxLoopLag = milliseconds(250);
 constexpr int kExitViolated = 1;
 constexpr int kExitUsage = 2;
@@ -42,7 +42,8 @@
   }
 }
 
-/// Every daemon has answered requests; runs at most until `limit`.
+/// Runs the event loop until every daemon has answered several requests. False
+/// if that takes longer than `limit`.
 bool wait_until_all_serve(Fleet& fleet, Callers& callers, Duration limit) {
   std::vector<bool> served(fleet.daemons().size());
   for (TimePoint end = io::steady_now() + limit; io::steady_now() < end;) {
@@ -71,7 +72,7 @@
   FaultInjector faults(fleet, seed);
   run_for(fleet, seconds(plan.seconds_of_faults));
   faults.stop();
-  // Processes that were told to stop end by themselves.
+  // Processes that were ordered to stop exit in this time.
   run_for(fleet, seconds(7));
   faults.heal();
   for (Daemon& daemon : fleet.daemons())
--- a/tests/soak/proxy.cc
+++ b/tests/soak/proxy.cc
@@ -12,7 +12,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// One connection and its continuation to the target.
+/// A connection from a client and the matching one to the target.
 class Proxy::Connection
     : public std::enable_shared_from_this<Proxy::Connection> {
  public:
@@ -31,7 +31,8 @@
                           });
   }
 
-  /// Once harmed, a connection stays so: what it lost does not come back.
+  /// Silence and lost answers stay with a connection when the fault ends, since
+  /// the dropped data would be missing from its stream.
   void apply_fault(LinkFault fault) {
     if (fault == LinkFault::kRefused) return reset();
     if (fault == LinkFault::kSilent) silent_ = true;
@@ -41,7 +42,7 @@
   void reset() {
     if (proxy_ == nullptr) return;
     error_code ignored;
-    // An abrupt end, as of a process that was killed.
+    // Closes with a TCP reset, as if the process had been killed.
     client_.set_option(asio::socket_base::linger(true, 0), ignored);
     close();
   }
@@ -57,7 +58,7 @@
   }
 
  private:
-  /// Direction 0 is from the caller to the target, 1 the way back.
+  /// Direction 0 is from the client to the target, 1 is the reverse.
   void read(std::size_t direction) {
     tcp::socket& from = direction == 0 ? client_ : target_;
     from.async_read_some(asio::buffer(buffers_[direction]),
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -13,14 +13,14 @@
 
 enum class LinkFault {
   kNone,
-  kDelayed,      ///< Each piece of data waits for `delay`.
+  kDelayed,      ///< Each chunk of data is delayed by `delay`.
   kRefused,      ///< Open connections are reset, new ones closed at once.
-  kAnswersLost,  ///< Cut one way: nothing comes back.
-  kSilent,       ///< Open connections carry nothing more; new ones hang.
+  kAnswersLost,  ///< Data from the target is dropped.
+  kSilent,       ///< Data is dropped both ways, on new connections too.
 };
 
-/// A TCP proxy on loopback that harms the connections made through it. Data
-/// that a fault holds back is never delivered later.
+/// A TCP proxy on loopback that injects faults into the connections made
+/// through it. Data that a fault drops is never delivered later.
 class Proxy {
  public:
   Proxy(boost::asio::io_context& io, const Endpoint& target);
@@ -28,7 +28,7 @@
   Proxy(const Proxy&) = delete;
   Proxy& operator=(const Proxy&) = delete;
 
-  /// Where to connect in place of the target.
+  /// The address to connect to instead of the target.
   Endpoint endpoint() const;
   void set_fault(LinkFault fault, Duration delay = Duration(0));
   LinkFault fault() const { return fault_; }
