--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -12,21 +12,21 @@
 
 namespace eelgrasspin::soak {
 
-/// Draws faults from a seed and brings them about, one after the other and
-/// overlapping. The same seed draws the same faults at the same times.
-class Faults {
+/// Injects random faults, which may overlap. The same seed gives the same
+/// faults at the same times.
+class FaultInjector {
  public:
-  Faults(Fleet& fleet, std::uint32_t seed);
-  /// Draws no more; faults in force end as they were to.
+  FaultInjector(Fleet& fleet, std::uint32_t seed);
+  /// Injects no further faults; those in force end at their scheduled times.
   void stop() { stopped_ = true; }
-  /// Ends what is still in force and starts what is down.
+  /// Ends all faults in force and starts every process and server that is down.
   void heal();
-  /// What was done, with the time since the start.
+  /// The injected faults in order, each with the time since the start.
   const std::vector<std::string>& history() const { return history_; }
 
  private:
-  void next();
-  void draw();
+  void schedule_next_fault();
+  void inject_random_fault();
   void daemon_fault();
   void backend_fault();
   void store_fault();
@@ -34,18 +34,18 @@
   void configuration_change();
   void stop_and_start(Daemon& daemon);
   void kill_all(Duration down);
-  void leave(Backend& backend);
-  void crash(Backend& backend, bool at_once);
+  void drain(Backend& backend);
+  void crash(Backend& backend, bool restarts_at_once);
 
-  std::uint32_t number(std::uint32_t most);
-  Duration between(int least_ms, int most_ms);
-  void after(Duration delay, std::function<void()> act);
-  void did(const std::string& what);
+  std::uint32_t random_below(std::uint32_t limit);
+  Duration random_duration(int min_ms, int max_ms);
+  void run_after(Duration delay, std::function<void()> action);
+  void record(const std::string& what);
 
   Fleet& fleet_;
   std::mt19937 random_;
   boost::asio::steady_timer timer_;
-  std::list<boost::asio::steady_timer> later_;
+  std::list<boost::asio::steady_timer> scheduled_;
   std::vector<std::string> history_;
   TimePoint started_;
   bool stopped_ = false;
