--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -8,10 +8,10 @@
 namespace {
 
 /// Logs what was known when no server could take a request.
-void note_refusal(const State& state, const RequestState& request,
-                  std::string_view reason,
-                  const std::vector<Candidate>& candidates, TimePoint now,
-                  Effects& effects) {
+void log_refusal(const State& state, const RequestState& request,
+                 std::string_view reason,
+                 const std::vector<Candidate>& candidates, TimePoint now,
+                 Effects& effects) {
   auto map = state.maps.find(request.service);
   bool keyed = request.key && map != state.maps.end() && map->second.map;
   const KeyRange* range =
@@ -23,7 +23,7 @@
     least_load =
         i == 0 ? candidates[i].load : std::min(least_load, candidates[i].load);
   }
-  note(
+  log_event(
       effects, "request_refused",
       {{"id", request.caller_request_id},
        {"reason", std::string(reason)},
@@ -41,26 +41,26 @@
 
 }  // namespace
 
-void note_end(const RequestState& request, int status, std::string_view reason,
-              TimePoint now, Effects& effects) {
-  note(effects, "request_end",
-       {{"id", request.caller_request_id},
-        {"status", std::to_string(status)},
-        {"reason", std::string(reason)},
-        {"route", request.route->name},
-        {"service", request.service.str()},
-        {"key", request.key ? std::to_string(request.key->value) : "-"},
-        {"server", request.server.empty() ? "-" : request.server.str()},
-        {"sends", std::to_string(request.sends)},
-        {"load_at_send", std::to_string(request.in_flight_at_send)},
-        {"elapsed", text(now - request.arrived_at)},
-        {"config", text(request.configuration->version)}});
+void log_request_end(const RequestState& request, int status,
+                     std::string_view reason, TimePoint now, Effects& effects) {
+  log_event(effects, "request_end",
+            {{"id", request.caller_request_id},
+             {"status", std::to_string(status)},
+             {"reason", std::string(reason)},
+             {"route", request.route->name},
+             {"service", request.service.str()},
+             {"key", request.key ? std::to_string(request.key->value) : "-"},
+             {"server", request.server.empty() ? "-" : request.server.str()},
+             {"sends", std::to_string(request.sends)},
+             {"load_at_send", std::to_string(request.in_flight_at_send)},
+             {"elapsed", text(now - request.arrived_at)},
+             {"config", text(request.configuration->version)}});
 }
 
 void answer(State& state, RequestState& request, int status, Duration after,
             std::string_view reason, TimePoint now, Effects& effects) {
   effects.emplace_back(AnswerCaller{request.id, status, after, reason});
-  note_end(request, status, reason, now, effects);
+  log_request_end(request, status, reason, now, effects);
   state.requests.erase(request.id);
 }
 
@@ -68,7 +68,7 @@
            const std::shared_ptr<const ServerAnswer>& from_server, int status,
            std::string_view reason, TimePoint now, Effects& effects) {
   effects.emplace_back(RelayAnswer{request.id, from_server});
-  note_end(request, status, reason, now, effects);
+  log_request_end(request, status, reason, now, effects);
   state.requests.erase(request.id);
 }
 
@@ -84,7 +84,7 @@
   }
   std::vector<Candidate> candidates =
       all_candidates(state, request.service, now);
-  note_refusal(state, request, reason, candidates, now, effects);
+  log_refusal(state, request, reason, candidates, now, effects);
   Duration after =
       retry_after(candidates, std::max(Duration(0), time_left(request, now)));
   answer(state, request, kUnavailable, after, reason, now, effects);
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -142,13 +142,13 @@
   RequestState& request = found->second;
   end_attempt(state, request);
   if (ended.result != AttemptResult::kAnswered) {
-    note(effects, "attempt_failed",
-         {{"id", request.caller_request_id},
-          {"server", request.server.str()},
-          {"status", std::to_string(ended.status)},
-          {"why", ended.why},
-          {"after", text(now - request.sent_at)},
-          {"load_at_send", std::to_string(request.in_flight_at_send)}});
+    log_event(effects, "attempt_failed",
+              {{"id", request.caller_request_id},
+               {"server", request.server.str()},
+               {"status", std::to_string(ended.status)},
+               {"why", ended.why},
+               {"after", text(now - request.sent_at)},
+               {"load_at_send", std::to_string(request.in_flight_at_send)}});
   }
   switch (ended.result) {
     case AttemptResult::kAnswered:
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -92,11 +92,11 @@
       time_left(request, now), give_up_time(request) - now + kTimeoutGrace,
       request.route->repeatable});
   if (request.sends > 1) {
-    note(effects, "request_resent",
-         {{"id", request.caller_request_id},
-          {"server", name.str()},
-          {"sends", std::to_string(request.sends)},
-          {"left", text(time_left(request, now))}});
+    log_event(effects, "request_resent",
+              {{"id", request.caller_request_id},
+               {"server", name.str()},
+               {"sends", std::to_string(request.sends)},
+               {"left", text(time_left(request, now))}});
   }
 }
 
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -96,15 +96,16 @@
   Epoch epoch;
 };
 /// A log line: what was decided and on what grounds.
-struct Note {
-  std::string_view event;
+struct LogEvent {
+  std::string_view name;
   std::vector<std::pair<std::string_view, std::string>> fields;
 };
 
-using Effect = std::variant<SendAttempt, CancelAttempt, RelayAnswer,
-                            AnswerCaller, SendHeartbeat, SendHeartbeatBatch,
-                            SendMapChange, SendStoreUpdate, WatchStore, CatchUp,
-                            WriteMap, ReadMap, GrantKeys, ReleaseKeys, Note>;
+using Effect =
+    std::variant<SendAttempt, CancelAttempt, RelayAnswer, AnswerCaller,
+                 SendHeartbeat, SendHeartbeatBatch, SendMapChange,
+                 SendStoreUpdate, WatchStore, CatchUp, WriteMap, ReadMap,
+                 GrantKeys, ReleaseKeys, LogEvent>;
 using Effects = std::vector<Effect>;
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -50,12 +50,12 @@
                                  range.first, range.last, range.epoch, hold,
                                  lease.handover});
   if (!lease.confirmed) {
-    note(effects, "grant",
-         {{"service", service.str()},
-          {"keys", keys_text(range.first, range.last)},
-          {"server", range.owner.name.str()},
-          {"epoch", text(range.epoch.value)},
-          {"handover", lease.handover.empty() ? "no" : "yes"}});
+    log_event(effects, "grant",
+              {{"service", service.str()},
+               {"keys", keys_text(range.first, range.last)},
+               {"server", range.owner.name.str()},
+               {"epoch", text(range.epoch.value)},
+               {"handover", lease.handover.empty() ? "no" : "yes"}});
   }
 }
 
@@ -68,11 +68,11 @@
                    now, Duration(0)});
   effects.emplace_back(ReleaseKeys{order, from.name, address, range.first,
                                    range.last, range.epoch});
-  note(effects, "release",
-       {{"service", service.str()},
-        {"keys", keys_text(range.first, range.last)},
-        {"server", from.name.str()},
-        {"epoch", text(range.epoch.value)}});
+  log_event(effects, "release",
+            {{"service", service.str()},
+             {"keys", keys_text(range.first, range.last)},
+             {"server", from.name.str()},
+             {"epoch", text(range.epoch.value)}});
 }
 
 /// Whether a grant to the holder for some of these keys has no answer yet.
@@ -207,12 +207,12 @@
 void on_granted(Lease& lease, const Order& order, TimePoint now,
                 Effects& effects) {
   if (!lease.confirmed) {
-    note(effects, "granted",
-         {{"service", order.service.str()},
-          {"keys", keys_text(order.first, order.last)},
-          {"server", order.server.name.str()},
-          {"epoch", text(order.epoch.value)},
-          {"took", text(now - order.sent_at)}});
+    log_event(effects, "granted",
+              {{"service", order.service.str()},
+               {"keys", keys_text(order.first, order.last)},
+               {"server", order.server.name.str()},
+               {"epoch", text(order.epoch.value)},
+               {"took", text(now - order.sent_at)}});
   }
   lease.confirmed = true;
   lease.renewed_at = order.sent_at;
@@ -223,12 +223,12 @@
                  TimePoint now, Effects& effects) {
   lease.released.insert(order.server);
   if (!ended.handover.empty()) lease.handover = ended.handover;
-  note(effects, "released",
-       {{"service", order.service.str()},
-        {"keys", keys_text(order.first, order.last)},
-        {"server", order.server.name.str()},
-        {"epoch", text(order.epoch.value)},
-        {"took", text(now - order.sent_at)}});
+  log_event(effects, "released",
+            {{"service", order.service.str()},
+             {"keys", keys_text(order.first, order.last)},
+             {"server", order.server.name.str()},
+             {"epoch", text(order.epoch.value)},
+             {"took", text(now - order.sent_at)}});
 }
 
 /// Whether the server is no longer in the registry. If it also refuses
@@ -332,14 +332,14 @@
     lease->next_order_at = now;
   }
   if (ended.result != OrderResult::kDone) {
-    note(effects, "order_failed",
-         {{"service", order.service.str()},
-          {"order", order.release ? "release" : "grant"},
-          {"keys", keys_text(order.first, order.last)},
-          {"server", order.server.name.str()},
-          {"epoch", text(order.epoch.value)},
-          {"after", text(now - order.sent_at)},
-          {"why", ended.why}});
+    log_event(effects, "order_failed",
+              {{"service", order.service.str()},
+               {"order", order.release ? "release" : "grant"},
+               {"keys", keys_text(order.first, order.last)},
+               {"server", order.server.name.str()},
+               {"epoch", text(order.epoch.value)},
+               {"after", text(now - order.sent_at)},
+               {"why", ended.why}});
     if (lease != nullptr) lease->next_order_at = now + config::kOrderRetryDelay;
   }
   if (map.coordinator_role) {
--- a/src/fleet/log_event.h
+++ b/src/fleet/log_event.h
@@ -13,10 +13,10 @@
 inline std::string text(std::uint64_t number) { return std::to_string(number); }
 
 /// Adds a log line to the effects.
-inline void note(
-    Effects& effects, std::string_view event,
+inline void log_event(
+    Effects& effects, std::string_view name,
     std::initializer_list<std::pair<std::string_view, std::string>> fields) {
-  effects.emplace_back(Note{event, fields});
+  effects.emplace_back(LogEvent{name, fields});
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/ownership.cc
+++ b/src/fleet/ownership.cc
@@ -25,11 +25,11 @@
 void end_coordinator_role(MapState& map, std::string_view reason,
                           Effects& effects) {
   if (!map.coordinator_role) return;
-  note(effects, "coordinator_ended",
-       {{"service", map.map->service.str()},
-        {"term", text(map.map->term.value)},
-        {"known_term", text(map.highest_term.value)},
-        {"reason", std::string(reason)}});
+  log_event(effects, "coordinator_ended",
+            {{"service", map.map->service.str()},
+             {"term", text(map.map->term.value)},
+             {"known_term", text(map.highest_term.value)},
+             {"reason", std::string(reason)}});
   map.coordinator_role.reset();
 }
 
@@ -65,11 +65,11 @@
       }
     }
   }
-  note(effects, "coordinator_started",
-       {{"service", map.map->service.str()},
-        {"term", text(map.map->term.value)},
-        {"ranges", text(map.map->ranges.size())},
-        {"before", before ? before->coordinator.str() : "-"}});
+  log_event(effects, "coordinator_started",
+            {{"service", map.map->service.str()},
+             {"term", text(map.map->term.value)},
+             {"ranges", text(map.map->ranges.size())},
+             {"before", before ? before->coordinator.str() : "-"}});
 }
 
 void adopt(State& state, MapState& map, const OwnerMap& next, Version revision,
@@ -83,12 +83,12 @@
   map.confirmed_at = now;
   map.highest_term = std::max(map.highest_term, next.term);
   if (new_term) map.coordinator_heartbeat_at = now;
-  note(effects, "map_adopted",
-       {{"service", next.service.str()},
-        {"term", text(next.term.value)},
-        {"revision", text(revision.value)},
-        {"ranges", text(next.ranges.size())},
-        {"coordinator", next.coordinator.str()}});
+  log_event(effects, "map_adopted",
+            {{"service", next.service.str()},
+             {"term", text(next.term.value)},
+             {"revision", text(revision.value)},
+             {"ranges", text(next.ranges.size())},
+             {"coordinator", next.coordinator.str()}});
   if (!coordinates(state, next)) {
     end_coordinator_role(map, "replaced", effects);
   } else if (!map.coordinator_role) {
@@ -169,11 +169,11 @@
   if (map.coordinator_role || now < map.next_write) return;
   if (!should_take_over(state, service, map, now)) return;
   if (map.map) {
-    note(effects, "coordinator_stands",
-         {{"service", service.str()},
-          {"term", text(map.map->term.next().value)},
-          {"before", map.map->coordinator.str()},
-          {"silent", text(now - map.coordinator_heartbeat_at)}});
+    log_event(effects, "coordinator_stands",
+              {{"service", service.str()},
+               {"term", text(map.map->term.next().value)},
+               {"before", map.map->coordinator.str()},
+               {"silent", text(now - map.coordinator_heartbeat_at)}});
     return start_write(map, take_over_map(state, *map.map), effects);
   }
   auto first = first_map(state, service, now);
@@ -253,10 +253,10 @@
       break;
   }
   if (ended.outcome != WriteOutcome::kWritten) {
-    note(effects, "map_not_written",
-         {{"service", ended.service.str()},
-          {"outcome", std::to_string(static_cast<int>(ended.outcome))},
-          {"base", text(map.revision.value)}});
+    log_event(effects, "map_not_written",
+              {{"service", ended.service.str()},
+               {"outcome", std::to_string(static_cast<int>(ended.outcome))},
+               {"base", text(map.revision.value)}});
   }
 }
 
@@ -306,7 +306,7 @@
 
 void on_resumed(State& state, const Resumed& resumed, TimePoint now,
                 Effects& effects) {
-  note(effects, "resumed", {{"gap", text(resumed.gap)}});
+  log_event(effects, "resumed", {{"gap", text(resumed.gap)}});
   if (resumed.gap < kHarmlessPauseTime) return;
   for (auto& [service, map] : state.maps) {
     if (!map.coordinator_role) continue;
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -69,9 +69,9 @@
       ++it;
       continue;
     }
-    note(effects, "daemon_forgotten",
-         {{"daemon", it->first.str()},
-          {"silent", text(now - it->second.received_at)}});
+    log_event(effects, "daemon_forgotten",
+              {{"daemon", it->first.str()},
+               {"silent", text(now - it->second.received_at)}});
     state.fleet.daemon_records.erase(it->first);
     for (auto& [server, loads] : state.fleet.loads) loads.erase(it->first);
     it = state.fleet.peers.erase(it);
@@ -120,9 +120,9 @@
     }
   }
   if (!is_alive(state, from, now)) {
-    note(effects, "daemon_heard",
-         {{"daemon", from.str()},
-          {"incarnation", text(heartbeat.daemon.incarnation.value)}});
+    log_event(effects, "daemon_heard",
+              {{"daemon", from.str()},
+               {"incarnation", text(heartbeat.daemon.incarnation.value)}});
   }
   auto known = state.fleet.daemon_records.find(from);
   if (heartbeat.full) {
--- a/src/fleet/quarantine.cc
+++ b/src/fleet/quarantine.cc
@@ -19,10 +19,10 @@
     if (item.server != server || now - item.at > config::kCrashWindow) continue;
     bool added = state.strikes[item.request].emplace(server, now).second;
     if (!added) continue;
-    note(effects, "crash_strike",
-         {{"fingerprint", text(item.request.value)},
-          {"server", server.name.str()},
-          {"strikes", text(state.strikes[item.request].size())}});
+    log_event(effects, "crash_strike",
+              {{"fingerprint", text(item.request.value)},
+               {"server", server.name.str()},
+               {"strikes", text(state.strikes[item.request].size())}});
   }
   std::erase_if(
       state.interrupted_requests,
--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -16,10 +16,10 @@
   bool returned = state.store_has_answered &&
                   state.store_failed_at > state.store_answered_at;
   if (returned || !state.store_has_answered) {
-    note(effects, "store_reached",
-         {{"silent", state.store_has_answered
-                         ? text(now - state.store_answered_at)
-                         : "since_start"}});
+    log_event(effects, "store_reached",
+              {{"silent", state.store_has_answered
+                              ? text(now - state.store_answered_at)
+                              : "since_start"}});
   }
   if (returned) state.outage_ended_at = now;
   state.store_has_answered = true;
@@ -29,9 +29,9 @@
 void on_store_failed(State& state, const StoreFailed& failed, TimePoint now,
                      Effects& effects) {
   if (state.store_failed_at <= state.store_answered_at) {
-    note(effects, "store_lost",
-         {{"last_answer", text(now - state.store_answered_at)},
-          {"why", failed.why}});
+    log_event(effects, "store_lost",
+              {{"last_answer", text(now - state.store_answered_at)},
+               {"why", failed.why}});
   }
   state.store_failed_at = now;
 }
@@ -44,7 +44,7 @@
   send_heartbeats(state, now, effects);
   if (!state.ready && is_ready(state)) {
     state.ready = true;
-    note(effects, "ready", {{"after", text(now - state.started)}});
+    log_event(effects, "ready", {{"after", text(now - state.started)}});
   }
 }
 
@@ -52,7 +52,7 @@
   if (state.stopping) return;
   state.stopping = true;
   state.stop_ordered_at = now;
-  note(effects, "stop_ordered", {{"open", text(state.requests.size())}});
+  log_event(effects, "stop_ordered", {{"open", text(state.requests.size())}});
   announce_stop(state, now, effects);
 }
 
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -54,13 +54,14 @@
     entry.leaving = false;
   }
   if (added || restarted || was_leaving != entry.leaving) {
-    note(effects, "server",
-         {{"server", server.name.str()},
-          {"service", server.service.str()},
-          {"zone", server.zone.str()},
-          {"state", server.draining ? "draining" : "ready"},
-          {"incarnation", text(server.incarnation.value)},
-          {"change", added ? "added" : (restarted ? "restarted" : "state")}});
+    log_event(
+        effects, "server",
+        {{"server", server.name.str()},
+         {"service", server.service.str()},
+         {"zone", server.zone.str()},
+         {"state", server.draining ? "draining" : "ready"},
+         {"incarnation", text(server.incarnation.value)},
+         {"change", added ? "added" : (restarted ? "restarted" : "state")}});
   }
 }
 
@@ -79,11 +80,11 @@
   }
   entry.removed = true;
   start_leaving(entry, now);
-  note(effects, "server",
-       {{"server", entry.server.name.str()},
-        {"service", entry.server.service.str()},
-        {"state", "gone"},
-        {"entry_age", text(now - entry.read_at)}});
+  log_event(effects, "server",
+            {{"server", entry.server.name.str()},
+             {"service", entry.server.service.str()},
+             {"state", "gone"},
+             {"entry_age", text(now - entry.read_at)}});
 }
 
 }  // namespace
@@ -142,11 +143,11 @@
       entry.removed = true;
       start_leaving(entry, now);
       changed = true;
-      note(effects, "server",
-           {{"server", entry.server.name.str()},
-            {"service", entry.server.service.str()},
-            {"state", "gone"},
-            {"reason", "not_back_after_outage"}});
+      log_event(effects, "server",
+                {{"server", entry.server.name.str()},
+                 {"service", entry.server.service.str()},
+                 {"state", "gone"},
+                 {"reason", "not_back_after_outage"}});
     }
     if (entry.removed && entry.in_flight == 0 &&
         now - entry.leaving_since > kRemovedServerRetention) {
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -212,13 +212,13 @@
     if (!to) continue;
     next.next_epoch = next.next_epoch.next();
     assign(input.ranges, {range.first, range.last, *to}, next.next_epoch);
-    note(effects, "keys_rehomed",
-         {{"service", service.str()},
-          {"keys", std::to_string(range.first.value) + "-" +
-                       std::to_string(range.last.value)},
-          {"from", range.owner.name.str()},
-          {"to", to->name.str()},
-          {"epoch", text(next.next_epoch.value)}});
+    log_event(effects, "keys_rehomed",
+              {{"service", service.str()},
+               {"keys", std::to_string(range.first.value) + "-" +
+                            std::to_string(range.last.value)},
+               {"from", range.owner.name.str()},
+               {"to", to->name.str()},
+               {"epoch", text(next.next_epoch.value)}});
     changed = true;
   }
   next.ranges = std::move(input.ranges);
@@ -275,13 +275,13 @@
     next.next_epoch = next.next_epoch.next();
     assign(next.ranges, move, next.next_epoch);
     map.coordinator_role->last_moves[move.first] = now;
-    note(effects, "keys_moved",
-         {{"service", service.str()},
-          {"keys", std::to_string(move.first.value) + "-" +
-                       std::to_string(move.last.value)},
-          {"to", move.to.name.str()},
-          {"epoch", text(next.next_epoch.value)},
-          {"hot_keys", text(input.request_rates.size())}});
+    log_event(effects, "keys_moved",
+              {{"service", service.str()},
+               {"keys", std::to_string(move.first.value) + "-" +
+                            std::to_string(move.last.value)},
+               {"to", move.to.name.str()},
+               {"epoch", text(next.next_epoch.value)},
+               {"hot_keys", text(input.request_rates.size())}});
   }
   return !moves.empty();
 }
--- a/src/fleet/requests.cc
+++ b/src/fleet/requests.cc
@@ -33,13 +33,13 @@
   Duration after =
       status == kUnavailable ? Duration(milliseconds(500)) : Duration(0);
   effects.emplace_back(AnswerCaller{received.id, status, after, reason});
-  note(effects, "request_end",
-       {{"id", received.caller_request_id},
-        {"status", std::to_string(status)},
-        {"reason", std::string(reason)},
-        {"host", received.host},
-        {"path", received.path},
-        {"config", text(version)}});
+  log_event(effects, "request_end",
+            {{"id", received.caller_request_id},
+             {"status", std::to_string(status)},
+             {"reason", std::string(reason)},
+             {"host", received.host},
+             {"path", received.path},
+             {"config", text(version)}});
 }
 
 }  // namespace
@@ -109,7 +109,7 @@
     effects.emplace_back(CancelAttempt{request.attempt});
     end_attempt(state, request);
   }
-  note_end(request, 0, "caller_left", now, effects);
+  log_request_end(request, 0, "caller_left", now, effects);
   state.requests.erase(left.id);
 }
 
--- a/src/fleet/requests_p.h
+++ b/src/fleet/requests_p.h
@@ -39,8 +39,8 @@
 void refuse(State& state, RequestState& request, std::string_view reason,
             TimePoint now, Effects& effects);
 /// Logs the end of a request.
-void note_end(const RequestState& request, int status, std::string_view reason,
-              TimePoint now, Effects& effects);
+void log_request_end(const RequestState& request, int status,
+                     std::string_view reason, TimePoint now, Effects& effects);
 
 // Sends, in dispatch.cc.
 /// Servers of the service that may be sent requests.
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -79,10 +79,10 @@
     } else if (now - *view.behind_since >= config::kOutdatedViewReadDelay) {
       view.behind_since = now;
       effects.emplace_back(CatchUp{kind, view.as_of});
-      note(effects, "store_view_behind",
-           {{"view", text(static_cast<std::uint64_t>(kind))},
-            {"as_of", text(view.as_of.value)},
-            {"relay_changed", text(changed.value)}});
+      log_event(effects, "store_view_behind",
+                {{"view", text(static_cast<std::uint64_t>(kind))},
+                 {"as_of", text(view.as_of.value)},
+                 {"relay_changed", text(changed.value)}});
     }
   }
 }
@@ -94,20 +94,20 @@
   const Configuration& next = *seen.configuration;
   if (state.configuration && next.version <= state.configuration->version) {
     if (next.version < state.configuration->version) {
-      note(effects, "config_ignored",
-           {{"version", text(next.version)},
-            {"current", text(state.configuration->version)},
-            {"revision", text(seen.revision.value)},
-            {"reason", "older"}});
+      log_event(effects, "config_ignored",
+                {{"version", text(next.version)},
+                 {"current", text(state.configuration->version)},
+                 {"revision", text(seen.revision.value)},
+                 {"reason", "older"}});
     }
     return;
   }
   state.configuration = seen.configuration;
-  note(effects, "config_adopted",
-       {{"version", text(next.version)},
-        {"revision", text(seen.revision.value)},
-        {"routes", text(next.routes.size())},
-        {"services", text(next.services.size())}});
+  log_event(effects, "config_adopted",
+            {{"version", text(next.version)},
+             {"revision", text(seen.revision.value)},
+             {"routes", text(next.routes.size())},
+             {"services", text(next.services.size())}});
   retry_waiting(state, now, effects);
 }
 
@@ -170,10 +170,10 @@
   if (watch != state.watching || wait != state.watch_wait) {
     if (watch != state.watching) {
       auto relay = zone_relay(state, state.settings.self.zone, now);
-      note(effects, watch ? "store_watched" : "store_followed",
-           {{"relay", relay ? relay->str() : "-"},
-            {"servers_as_of",
-             text(state.views[StoreView::kServers].as_of.value)}});
+      log_event(effects, watch ? "store_watched" : "store_followed",
+                {{"relay", relay ? relay->str() : "-"},
+                 {"servers_as_of",
+                  text(state.views[StoreView::kServers].as_of.value)}});
     }
     state.watching = watch;
     state.watch_wait = wait;
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -184,7 +184,7 @@
             key_orders_.release(
                 e, [this](const fleet::OrderEnded& ended) { apply(ended); });
           },
-          [this](const fleet::Note& e) { log_note(e); },
+          [this](const fleet::LogEvent& e) { on_log_event(e); },
       },
       effect);
 }
@@ -195,9 +195,9 @@
       format_.read_caller_request(exchange->request());
   if (!ok(read)) {
     constexpr int kBadRequest = 400;
-    log_note(fleet::Note{"request_invalid",
-                         {{"from", exchange->request().remote.str()},
-                          {"why", error(read).message}}});
+    on_log_event(fleet::LogEvent{"request_invalid",
+                                 {{"from", exchange->request().remote.str()},
+                                  {"why", error(read).message}}});
     return exchange->answer(format_.make_router_response(
         {}, kBadRequest, Duration(0), error(read).message));
   }
@@ -297,10 +297,10 @@
   auto message =
       codec::decode_datagram(std::string_view(datagram_.data(), size));
   if (!ok(message)) {
-    return log_note(
-        fleet::Note{"datagram_unreadable",
-                    {{"from", datagram_sender_.address().to_string()},
-                     {"why", error(message).message}}});
+    return on_log_event(
+        fleet::LogEvent{"datagram_unreadable",
+                        {{"from", datagram_sender_.address().to_string()},
+                         {"why", error(message).message}}});
   }
   std::visit(
       Overloaded{[this](fleet::Heartbeat& heartbeat) {
@@ -350,11 +350,11 @@
   exchange->answer({200, {{"Content-Type", "text/plain"}}, std::move(text)});
 }
 
-void FleetShell::count_event(const fleet::Note& note) {
-  ++event_counts_[std::string(note.event)];
-  if (note.event != "request_end") return;
+void FleetShell::count_event(const fleet::LogEvent& event) {
+  ++event_counts_[std::string(event.name)];
+  if (event.name != "request_end") return;
   std::string labels;
-  for (const auto& [key, value] : note.fields) {
+  for (const auto& [key, value] : event.fields) {
     if (key != "status" && key != "reason") continue;
     if (!labels.empty()) labels += ',';
     labels += std::string(key) + "=\"" + value + "\"";
@@ -362,11 +362,11 @@
   ++request_end_counts_[labels];
 }
 
-void FleetShell::log_note(const fleet::Note& note) {
-  count_event(note);
-  if (!log_limiter_.allow(note.event, boottime_now())) return;
-  LogFields fields = {{"event", std::string(note.event)}};
-  fields.insert(fields.end(), note.fields.begin(), note.fields.end());
+void FleetShell::on_log_event(const fleet::LogEvent& event) {
+  count_event(event);
+  if (!log_limiter_.allow(event.name, boottime_now())) return;
+  LogFields fields = {{"event", std::string(event.name)}};
+  fields.insert(fields.end(), event.fields.begin(), event.fields.end());
   log_line(LogLevel::kInfo, fields);
 }
 
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -64,8 +64,8 @@
   void receive_datagram();
   void on_datagram(std::size_t size);
   void on_metrics(const std::shared_ptr<HttpExchange>& exchange);
-  void log_note(const fleet::Note& note);
-  void count_event(const fleet::Note& note);
+  void on_log_event(const fleet::LogEvent& event);
+  void count_event(const fleet::LogEvent& event);
   void tick();
   void detect_suspension();
   void apply_caller_limits();
--- a/tests/docs_test.cc
+++ b/tests/docs_test.cc
@@ -82,9 +82,9 @@
 TEST(Docs, OperationsNameEveryEventAndCounter) {
   std::string text = page("OPERATIONS.md");
   std::set<std::string> names =
-      names_in("src/fleet", std::regex("note\\(effects, \"([a-z_]+)\""));
+      names_in("src/fleet", std::regex("log_event\\(effects, \"([a-z_]+)\""));
   EXPECT_GT(names.size(), 20u);
-  names.merge(names_in("src/io", std::regex("Note\\{\"([a-z_]+)\"")));
+  names.merge(names_in("src/io", std::regex("LogEvent\\{\"([a-z_]+)\"")));
   names.merge(names_in("src/io", std::regex("\"(fleet_[a-z_]+)\"")));
   for (const std::string& name : names) {
     bool named = text.find("`" + name + "`") != std::string::npos ||
