--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -63,7 +63,7 @@
     json::array keys;
     for (const fleet::KeyLoad& key : report.keys) {
       keys.push_back(key.key.value);
-      keys.push_back(hundredths(key.weight));
+      keys.push_back(hundredths(key.request_count));
     }
     json::array service_times;
     for (const auto& entry : report.service_times) {
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -118,10 +118,10 @@
   bool operator==(const DaemonRecord&) const = default;
 };
 
-/// Exponentially decayed number of one daemon's requests for one key.
+/// Requests of one daemon, or of all daemons of a zone, for one key.
 struct KeyLoad {
   ShardKey key;
-  double weight = 0;
+  double request_count = 0;  ///< Decayed exponentially.
 };
 
 /// Identifies a request by caller, target and body; equal if the caller sends
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -107,8 +107,8 @@
 }
 
 void add_key_load(std::map<ShardKey, double>& rates, ShardKey key,
-                  double weight) {
-  rates[key] += weight / kKeyLoadSeconds;
+                  double request_count) {
+  rates[key] += request_count / kKeyLoadSeconds;
 }
 
 std::map<ShardKey, double> key_request_rates(const State& state,
@@ -117,8 +117,8 @@
   std::map<ShardKey, double> rates;
   auto own = state.key_loads.find(service);
   if (own != state.key_loads.end()) {
-    for (const auto& [key, weight] : own->second.request_counts) {
-      add_key_load(rates, ShardKey(key), weight);
+    for (const auto& [key, request_count] : own->second.request_counts) {
+      add_key_load(rates, ShardKey(key), request_count);
     }
   }
   for (const auto& [name, peer] : state.fleet.peers) {
@@ -127,7 +127,7 @@
     for (const auto& report : peer.heartbeat.key_load_reports) {
       if (report.service != service) continue;
       for (const KeyLoad& key : report.keys) {
-        add_key_load(rates, key.key, key.weight);
+        add_key_load(rates, key.key, key.request_count);
       }
     }
   }
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -110,8 +110,8 @@
                        KeyLoads& keys, ServiceTimes& service_times) {
   auto found = state.key_loads.find(service);
   if (found != state.key_loads.end()) {
-    for (const auto& [key, weight] : found->second.request_counts) {
-      keys[ShardKey(key)] += weight;
+    for (const auto& [key, request_count] : found->second.request_counts) {
+      keys[ShardKey(key)] += request_count;
     }
   }
   auto servers = state.by_service.find(service);
@@ -138,7 +138,7 @@
     }
     for (const auto& report : peer.heartbeat.key_load_reports) {
       if (report.service != service) continue;
-      for (const KeyLoad& key : report.keys) keys[key.key] += key.weight;
+      for (const KeyLoad& key : report.keys) keys[key.key] += key.request_count;
       for (const auto& measured : report.service_times)
         add_service_time(service_times, measured);
     }
@@ -153,7 +153,8 @@
   add_own_key_loads(state, service, keys, service_times);
   if (for_zone) add_zone_key_loads(state, service, now, keys, service_times);
   Heartbeat::KeyLoadReport report{service, {}, {}};
-  for (const auto& [key, weight] : keys) report.keys.push_back({key, weight});
+  for (const auto& [key, request_count] : keys)
+    report.keys.push_back({key, request_count});
   std::size_t kept =
       std::min(report.keys.size(), for_zone ? config::kMaxRelayReportedKeys
                                             : config::kMaxReportedKeys);
@@ -161,7 +162,7 @@
                     report.keys.begin() + static_cast<std::ptrdiff_t>(kept),
                     report.keys.end(),
                     [](const KeyLoad& left, const KeyLoad& right) {
-                      return left.weight > right.weight;
+                      return left.request_count > right.request_count;
                     });
   report.keys.resize(kept);
   for (const auto& [name, measured] : service_times)
--- a/tests/platform_adapter_test.cc
+++ b/tests/platform_adapter_test.cc
@@ -285,7 +285,7 @@
   RC_ASSERT(read.sequence == heartbeat.sequence);
   RC_ASSERT(read.stopping == heartbeat.stopping);
   RC_ASSERT(read.loads.size() == 2u);
-  RC_ASSERT(read.key_load_reports[0].keys[0].weight == 1.25);
+  RC_ASSERT(read.key_load_reports[0].keys[0].request_count == 1.25);
   auto draws = *rc::gen::container<std::vector<std::uint32_t>>(
       rc::gen::inRange<std::uint32_t>(0, 100'000));
   codec::decode_datagram(mutated(text, draws));
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -87,7 +87,7 @@
   for (const auto& [name, peer] : world.state(*coordinator).fleet.peers) {
     for (const auto& report : peer.heartbeat.key_load_reports) {
       for (const KeyLoad& key : report.keys) {
-        if (key.key == ShardKey(500)) reported += key.weight;
+        if (key.key == ShardKey(500)) reported += key.request_count;
       }
     }
   }
