--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -100,7 +100,7 @@
   if (const json::value* daemon = object.if_contains("daemon")) {
     heartbeat.daemon = daemon_of(daemon->as_object());
   } else {
-    heartbeat.full = false;
+    heartbeat.has_full_record = false;
     heartbeat.daemon.name = DaemonName(text_of(object, "name"));
     heartbeat.daemon.incarnation =
         Incarnation(number(object.at("incarnation")));
@@ -237,7 +237,7 @@
   json::object object = {{"seq", heartbeat.sequence},
                          {"terms", std::move(terms)},
                          {"loads", std::move(loads)}};
-  if (heartbeat.full) {
+  if (heartbeat.has_full_record) {
     object["daemon"] = daemon_object(heartbeat.daemon);
   } else {
     object["name"] = heartbeat.daemon.name.str();
@@ -269,7 +269,7 @@
 
 fleet::HeartbeatBatch heartbeat_batch_of(const json::object& object) {
   fleet::HeartbeatBatch batch;
-  batch.relay = object.if_contains("relay") != nullptr;
+  batch.forward_within_zone = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
   }
@@ -288,7 +288,7 @@
     heartbeats.push_back(heartbeat_object(heartbeat));
   }
   json::object object = {{"heartbeats", std::move(heartbeats)}};
-  if (batch.relay) object["relay"] = true;
+  if (batch.forward_within_zone) object["relay"] = true;
   return json::serialize(object);
 }
 
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -44,10 +44,11 @@
 inline constexpr Duration kKeyLoadReportInterval = milliseconds(600);
 /// Age from which on a key load report is ignored: three intervals.
 inline constexpr Duration kMaxKeyLoadReportAge = milliseconds(1800);
-/// Every so many heartbeats, one carries the daemon's zone, region and address.
+/// One in this many heartbeats carries the daemon's whole record, with zone,
+/// region, address and capacity.
 inline constexpr std::uint64_t kHeartbeatsPerFullRecord = 8;
-/// Time after its start in which every heartbeat of a daemon carries its zone,
-/// region and address.
+/// Time after its start in which every heartbeat of a daemon carries its whole
+/// record.
 inline constexpr Duration kFullRecordsAfterStart = seconds(8);
 /// An owner map that has been older than another daemon's for this long is read
 /// from the store.
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -137,9 +137,9 @@
 /// State of a daemon that it sends to the others several times a second.
 struct Heartbeat {
   DaemonRecord daemon;
-  /// Whether `daemon` has zone, region and address; most heartbeats leave them
-  /// out.
-  bool full = true;
+  /// Whether `daemon` has zone, region, address and capacity. Most heartbeats
+  /// contain only its name and incarnation.
+  bool has_full_record = true;
   std::uint64_t sequence = 0;
   bool stopping = false;
   /// Time since the last answer of the store if the last call to it failed,
@@ -209,8 +209,8 @@
 /// zone.
 struct HeartbeatBatch {
   std::vector<Heartbeat> heartbeats;
-  /// The receiver has to forward the batch to the daemons of its zone.
-  bool relay = false;
+  /// Set if the receiver has to forward the batch to the daemons of its zone.
+  bool forward_within_zone = false;
 };
 
 /// Change that a coordinator made to its map; sent to all daemons at once.
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -125,7 +125,7 @@
                {"incarnation", text(heartbeat.daemon.incarnation.value)}});
   }
   auto known = state.fleet.daemon_records.find(from);
-  if (heartbeat.full) {
+  if (heartbeat.has_full_record) {
     state.fleet.daemon_records[from] = heartbeat.daemon;
   } else if (known != state.fleet.daemon_records.end()) {
     known->second.incarnation = heartbeat.daemon.incarnation;
@@ -155,8 +155,9 @@
   Heartbeat heartbeat;
   heartbeat.daemon = state.settings.self;
   heartbeat.sequence = ++state.fleet.sequence;
-  heartbeat.full = heartbeat.sequence % config::kHeartbeatsPerFullRecord == 1 ||
-                   now - state.started < config::kFullRecordsAfterStart;
+  heartbeat.has_full_record =
+      heartbeat.sequence % config::kHeartbeatsPerFullRecord == 1 ||
+      now - state.started < config::kFullRecordsAfterStart;
   heartbeat.stopping = state.stopping;
   heartbeat.store_unreachable_for = store_unreachable_for(state, now);
   heartbeat.terms = own_terms(state, now);
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -49,9 +49,9 @@
 
 HeartbeatBatch own_batch(State& state, bool other_region, TimePoint now) {
   HeartbeatBatch batch;
-  batch.relay = true;
+  batch.forward_within_zone = true;
   batch.heartbeats.push_back(own_heartbeat(state, now, other_region));
-  bool full =
+  bool with_full_records =
       ++state.fleet.batches_sent % config::kHeartbeatsPerFullRecord == 1;
   for (const auto& [name, peer] : state.fleet.peers) {
     auto known = state.fleet.daemon_records.find(name);
@@ -62,7 +62,7 @@
     }
     Heartbeat heartbeat = peer.heartbeat;
     heartbeat.daemon = known->second;
-    heartbeat.full = full;
+    heartbeat.has_full_record = with_full_records;
     heartbeat.key_load_reports.clear();
     heartbeat.view.reset();
     heartbeat.age = now - peer.received_at;
@@ -211,11 +211,11 @@
     updated = accept_heartbeat(state, heartbeat, now, effects) || updated;
   }
   if (!updated) return;
-  if (received.batch.relay) {
+  if (received.batch.forward_within_zone) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
       HeartbeatBatch copy = received.batch;
-      copy.relay = false;
+      copy.forward_within_zone = false;
       effects.emplace_back(SendHeartbeatBatch{std::move(copy), std::move(to)});
     }
   }
--- a/tests/fleet_messages_test.cc
+++ b/tests/fleet_messages_test.cc
@@ -88,7 +88,7 @@
 
 TEST(FleetMessages, BatchesKeepAgesAndViews) {
   fleet::HeartbeatBatch batch;
-  batch.relay = true;
+  batch.forward_within_zone = true;
   fleet::Heartbeat heartbeat;
   heartbeat.daemon = {DaemonName("d1"), Incarnation(5),         ZoneName("z"),
                       RegionName("r"),  Endpoint("10.0.0.1:7"), 500};
@@ -99,7 +99,7 @@
   auto decoded = decode_datagram(encode_heartbeat_batch(batch));
   ASSERT_TRUE(ok(decoded));
   const auto& read = std::get<fleet::HeartbeatBatch>(value(decoded));
-  EXPECT_TRUE(read.relay);
+  EXPECT_TRUE(read.forward_within_zone);
   ASSERT_EQ(read.heartbeats.size(), 2u);
   EXPECT_EQ(read.heartbeats[1].daemon, heartbeat.daemon);
   EXPECT_EQ(read.heartbeats[1].age, milliseconds(120));
