--- a/src/fleet/answers.cc
+++ b/src/fleet/answers.cc
@@ -57,9 +57,10 @@
              {"config", text(request.configuration->version)}});
 }
 
-void answer(State& state, RequestState& request, int status, Duration after,
-            std::string_view reason, TimePoint now, Effects& effects) {
-  effects.emplace_back(AnswerCaller{request.id, status, after, reason});
+void answer(State& state, RequestState& request, int status,
+            Duration retry_delay, std::string_view reason, TimePoint now,
+            Effects& effects) {
+  effects.emplace_back(AnswerCaller{request.id, status, retry_delay, reason});
   log_request_end(request, status, reason, now, effects);
   state.requests.erase(request.id);
 }
@@ -85,9 +86,9 @@
   std::vector<Candidate> candidates =
       all_candidates(state, request.service, now);
   log_refusal(state, request, reason, candidates, now, effects);
-  Duration after =
+  Duration retry_delay =
       retry_after(candidates, std::max(Duration(0), time_left(request, now)));
-  answer(state, request, kUnavailable, after, reason, now, effects);
+  answer(state, request, kUnavailable, retry_delay, reason, now, effects);
 }
 
 }  // namespace eelgrasspin::fleet
--- a/src/fleet/choice.cc
+++ b/src/fleet/choice.cc
@@ -18,12 +18,12 @@
 };
 
 std::optional<Best> best_of(const std::vector<Candidate>& candidates,
-                            std::uint64_t draw, Distance furthest,
+                            std::uint64_t tie_breaker, Distance furthest,
                             bool free_slot_only, Duration objective) {
   std::optional<Best> best;
   std::size_t count = candidates.size();
   for (std::size_t offset = 0; offset < count; ++offset) {
-    std::size_t index = (offset + draw) % count;
+    std::size_t index = (offset + tie_breaker) % count;
     const Candidate& candidate = candidates[index];
     if (candidate.distance > furthest || !has_room(candidate, objective))
       continue;
@@ -59,16 +59,17 @@
 }
 
 std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
-                                  Duration objective, std::uint64_t draw) {
+                                  Duration objective,
+                                  std::uint64_t tie_breaker) {
   if (candidates.empty()) return std::nullopt;
   Duration nearest_limit =
       scaled(objective, config::kNearestServerObjectiveShare);
   for (Distance furthest : {Distance::kSameZone, Distance::kSameRegion}) {
-    auto best = best_of(candidates, draw, furthest, true, objective);
+    auto best = best_of(candidates, tie_breaker, furthest, true, objective);
     if (best && best->finish <= nearest_limit) return best->index;
   }
-  auto best =
-      best_of(candidates, draw, Distance::kOtherRegion, false, objective);
+  auto best = best_of(candidates, tie_breaker, Distance::kOtherRegion, false,
+                      objective);
   if (!best) return std::nullopt;
   return best->index;
 }
--- a/src/fleet/choice.h
+++ b/src/fleet/choice.h
@@ -9,8 +9,8 @@
 #include "fleet/registry.h"
 
 /// Chooses the server for a request: a free slot nearby first, then the
-/// earliest expected finish. Made for few servers with few slots each, and for
-/// daemons that learn of one another's requests with a delay.
+/// earliest expected finish. Designed for few servers with few slots each, and
+/// for daemons that learn of one another's requests with a delay.
 namespace eelgrasspin::fleet {
 
 struct Candidate {
@@ -19,7 +19,7 @@
   std::uint32_t slots = 1;
   std::uint32_t load = 0;     ///< Requests of all daemons at the server.
   Duration service_time{0};   ///< Of one request in one slot.
-  double success_rate = 1.0;  ///< Share of useful outcomes.
+  double success_rate = 1.0;  ///< Share of requests that succeed.
 };
 
 /// Time until a slot is expected to be free for one more request.
@@ -31,10 +31,11 @@
 /// the objective.
 bool has_room(const Candidate& candidate, Duration objective);
 
-/// Index of the best candidate with room; empty if none has room. Among equal
-/// ones `draw` decides.
+/// Index of the best candidate with room; empty if none has room. Which one of
+/// several equal candidates is chosen depends on `tie_breaker`.
 std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
-                                  Duration objective, std::uint64_t draw);
+                                  Duration objective,
+                                  std::uint64_t tie_breaker);
 
 /// Time after which a refused caller should retry: when a slot of the least
 /// loaded candidate is expected to be free, but at most kMaxRetryAfterShare of
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -67,7 +67,7 @@
     }
   }
   if (untried.empty()) return Unavailable::kNoServer;
-  auto chosen = choose(untried, request.route->objective, ++state.draws);
+  auto chosen = choose(untried, request.route->objective, ++state.tie_breaker);
   if (!chosen) return Unavailable::kFull;
   return untried[*chosen].name;
 }
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -241,8 +241,8 @@
 }  // namespace
 
 Duration expiry_delay(const Settings& settings, Duration hold) {
-  return scaled(hold, 1.0 + config::kMaxClockLagShare) + settings.thaw_slack +
-         config::kHoldExpirySlack;
+  return scaled(hold, 1.0 + config::kMaxClockLagShare) +
+         settings.max_delivery_delay + config::kHoldExpirySlack;
 }
 
 Duration longest_hold(const Settings& settings) {
--- a/src/fleet/reduce.cc
+++ b/src/fleet/reduce.cc
@@ -65,8 +65,8 @@
   state.started = now;
   state.store_answered_at = now;
   state.fleet.daemon_records[settings.self.name] = settings.self;
-  state.draws = std::hash<std::string>()(settings.self.name.str()) ^
-                settings.self.incarnation.value;
+  state.tie_breaker = std::hash<std::string>()(settings.self.name.str()) ^
+                      settings.self.incarnation.value;
   return state;
 }
 
--- a/src/fleet/requests.cc
+++ b/src/fleet/requests.cc
@@ -30,9 +30,9 @@
 void refuse_unrouted(const RequestReceived& received, int status,
                      std::string_view reason, std::uint64_t version,
                      Effects& effects) {
-  Duration after =
+  Duration retry_delay =
       status == kUnavailable ? Duration(milliseconds(500)) : Duration(0);
-  effects.emplace_back(AnswerCaller{received.id, status, after, reason});
+  effects.emplace_back(AnswerCaller{received.id, status, retry_delay, reason});
   log_event(effects, "request_end",
             {{"id", received.caller_request_id},
              {"status", std::to_string(status)},
--- a/src/fleet/requests_p.h
+++ b/src/fleet/requests_p.h
@@ -27,9 +27,11 @@
 }
 
 // Answers, in answers.cc. Each erases the request.
-/// Ends a request with an answer of this daemon.
-void answer(State& state, RequestState& request, int status, Duration after,
-            std::string_view reason, TimePoint now, Effects& effects);
+/// Ends a request with an answer of this daemon. `retry_delay` 0: the answer
+/// has no Retry-After header.
+void answer(State& state, RequestState& request, int status,
+            Duration retry_delay, std::string_view reason, TimePoint now,
+            Effects& effects);
 /// Ends a request by forwarding a server's answer.
 void relay(State& state, RequestState& request,
            const std::shared_ptr<const ServerAnswer>& from_server, int status,
--- a/src/fleet/settings.h
+++ b/src/fleet/settings.h
@@ -20,12 +20,13 @@
   Duration stop_timeout = seconds(6);
   /// Longest duration of a grant that a server accepts.
   Duration hold_max = seconds(10);
-  /// By this much a grant may be delivered late after a pause of the server.
-  Duration thaw_slack = milliseconds(300);
+  /// Longest delay with which a grant may reach a server that was paused.
+  Duration max_delivery_delay = milliseconds(300);
   /// All daemons together may send this share of a service's requests as
   /// retries within `retry_window`.
   double retry_ratio = 0.2;
-  /// Retries that are allowed in addition to that share.
+  /// Number of retries within `retry_window` that are allowed in addition to
+  /// that share, also for all daemons together.
   std::uint32_t retry_slack = 60;
   Duration retry_window = seconds(10);
 };
--- a/src/fleet/state.h
+++ b/src/fleet/state.h
@@ -249,8 +249,8 @@
   TimePoint outage_ended_at;    ///< When the store last became reachable.
   bool stopping = false;
   TimePoint stop_ordered_at;
-  bool ready = false;       ///< Has been logged as ready.
-  std::uint64_t draws = 0;  ///< Varies the server that wins a tie.
+  bool ready = false;             ///< Has been logged as ready.
+  std::uint64_t tie_breaker = 0;  ///< Changes with each choice; see choose().
 };
 
 /// Whether this daemon should be sent new connections.
