--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -13,8 +13,8 @@
 inline constexpr Duration kTickInterval = milliseconds(20);
 
 // Heartbeats between daemons.
-/// Least time between two heartbeats to daemons of the own zone while the load
-/// changes.
+/// Minimum time between two heartbeats to daemons of the own zone while the
+/// load changes.
 inline constexpr Duration kLoadChangeHeartbeatInterval = milliseconds(60);
 /// Interval of heartbeats to daemons of the own zone if the load does not
 /// change, and of heartbeats of a coordinator to its whole region.
@@ -29,10 +29,10 @@
 /// other regions.
 inline constexpr Duration kOtherRegionBatchInterval = milliseconds(500);
 /// Time without a heartbeat after which a daemon of the own zone, or a
-/// coordinator of the own region, is not considered alive: five heartbeats.
+/// coordinator of the own region, is not considered alive: five intervals.
 inline constexpr Duration kDaemonTimeout = milliseconds(1000);
 /// Time without a heartbeat after which a coordinator of another region is not
-/// considered alive: three and a half heartbeats.
+/// considered alive: three and a half intervals.
 inline constexpr Duration kOtherRegionDaemonTimeout = milliseconds(1750);
 /// Added to the daemon timeout if a relay forwards the daemon's heartbeats: its
 /// zone takes kDaemonTimeout to replace a relay that has failed.
@@ -62,7 +62,8 @@
 /// may create a first map.
 inline constexpr Duration kElectionStartDelay = milliseconds(500);
 /// A first map is created once no server of the service has joined for this
-/// long: servers that start together register within some hundred milliseconds.
+/// long: servers that start together register within a few hundred
+/// milliseconds.
 inline constexpr Duration kFirstMapJoinDelay = milliseconds(700);
 /// Time without an answer of the store after which a coordinator lets another
 /// daemon take over.
@@ -102,10 +103,10 @@
 inline constexpr Duration kReleaseTimeout = seconds(3);
 /// Delay before a failed order is sent again.
 inline constexpr Duration kOrderRetryDelay = milliseconds(150);
-/// By this share of a grant's duration the clock of a server may be slow.
+/// Share of a grant's duration by which a server's clock may run slow.
 inline constexpr double kMaxClockLagShare = 0.02;
-/// Added to a grant's duration before it is taken for expired, for scheduling
-/// and delivery.
+/// Added to a grant's duration before the grant counts as expired, for delays
+/// of scheduling and delivery.
 inline constexpr Duration kHoldExpirySlack = milliseconds(400);
 /// Time without an answer of the store after which a coordinator stops renewing
 /// grants.
@@ -126,10 +127,11 @@
 inline constexpr double kOverloadRatio = 1.3;
 /// Request rate of the whole service below which no keys are moved.
 inline constexpr double kMinRebalanceRequestsPerSecond = 4.0;
-/// Moves that one placement round may order in a service of few servers.
+/// Number of moves that one placement round may order in a service of few
+/// servers.
 inline constexpr std::size_t kBaseMovesPerRound = 6;
-/// In a service of many servers, a placement round may order one move for each
-/// so many servers.
+/// In a service of many servers, a placement round may order one move per this
+/// many servers.
 inline constexpr std::size_t kServersPerMove = 8;
 /// Time in which keys that have moved are not moved again.
 inline constexpr Duration kMoveCooldown = milliseconds(2500);
@@ -169,8 +171,8 @@
 /// Lower bound of Retry-After.
 inline constexpr Duration kMinRetryAfter = milliseconds(100);
 /// A repeatable request is sent to another server when it has taken this many
-/// times the expected time: the longest runs that users name for their services
-/// take five times the usual one.
+/// times the expected time. Users state that the longest requests of a service
+/// take up to five times as long as usual.
 inline constexpr double kResponseTimeoutFactor = 6.0;
 /// It is sent again earlier if otherwise less than this many times the expected
 /// time would remain until the deadline.
@@ -193,11 +195,11 @@
 /// The nearest server is preferred to a faster one further away if it is
 /// expected to answer within this share of the objective.
 inline constexpr double kNearestServerObjectiveShare = 0.75;
-/// Connection attempts for one request.
+/// Maximum number of failed connection attempts for one request.
 inline constexpr std::uint32_t kMaxConnectAttempts = 3;
 
 // Requests that crash servers.
-/// Servers that a request may crash before all daemons refuse it.
+/// Number of servers that a request has to crash before all daemons refuse it.
 inline constexpr std::uint32_t kQuarantineStrikes = 2;
 /// Time for which a strike counts.
 inline constexpr Duration kQuarantineTime = seconds(60);
@@ -206,7 +208,8 @@
 inline constexpr Duration kCrashWindow = seconds(5);
 /// Time for which heartbeats repeat a strike.
 inline constexpr Duration kStrikeAnnouncementTime = seconds(2);
-/// Interrupted requests that are remembered; the oldest are dropped first.
+/// Maximum number of interrupted requests that are remembered; the oldest are
+/// dropped first.
 inline constexpr std::size_t kMaxInterruptedRequests = 256;
 
 // Registry of backend servers.
--- a/src/fleet/effect.h
+++ b/src/fleet/effect.h
@@ -15,7 +15,7 @@
   RequestId request;
   ServerName server;
   Endpoint address;
-  Duration time_left{0};         ///< Remaining time that the server is told.
+  Duration time_left{0};         ///< Until the deadline; sent to the server.
   Duration response_timeout{0};  ///< The attempt ends as kTimedOut after it.
   bool repeatable = false;
 };
@@ -60,7 +60,7 @@
   Version configuration_as_of;
   Version servers_as_of;
 };
-/// Reads the changes of one part from the store, once.
+/// Reads the changes of one part of the store, once.
 struct CatchUp {
   StoreView view = StoreView::kServers;
   Version as_of;  ///< The copy is complete up to this revision.
@@ -95,7 +95,7 @@
   ShardKey last;
   Epoch epoch;
 };
-/// A log line: what was decided and on what grounds.
+/// Logs a decision with the values on which it is based.
 struct LogEvent {
   std::string_view name;
   std::vector<std::pair<std::string_view, std::string>> fields;
--- a/src/fleet/leases.h
+++ b/src/fleet/leases.h
@@ -6,8 +6,8 @@
 /// Orders that a coordinator sends to the servers: grants, renewals, releases.
 namespace eelgrasspin::fleet {
 
-/// Fits the leases to the ranges of the map: keeps those of unchanged ranges
-/// and starts those of new ones.
+/// Matches the leases to the ranges of the map: keeps those of ranges with
+/// unchanged owner and epoch, and starts new ones for the others.
 void update_leases(MapState& map);
 /// Sends the orders that are due; none while the map has to be verified.
 void send_due_orders(State& state, const ServiceName& service, MapState& map,
@@ -18,8 +18,9 @@
 /// Time from the end of an order to grant keys for `hold` until the grant has
 /// certainly expired at the server, whose clock may be slow.
 Duration expiry_delay(const Settings& settings, Duration hold);
-/// Whether recent connections to the server have failed (config.h has the
-/// limits).
+/// Whether the last connections to the server have failed: at least
+/// kServerUnreachableFailures of them, over at least kServerUnreachableTime,
+/// the last one less than kUnreachableServerExclusion ago.
 bool is_unreachable(const CoordinatorRole& coordinator_role,
                     const ServerIncarnation& server, TimePoint now);
 /// Whether the range has moved and its new owner has confirmed the grant.
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -14,7 +14,7 @@
 #include "eelgrasspin/units.h"
 
 /// Routing and key ownership for a fleet of equal daemons that share one object
-/// store. This part only decides: it does no I/O and reads no clock.
+/// store. This part only makes decisions: it does no I/O and reads no clock.
 namespace eelgrasspin::fleet {
 
 /// Position of a request in its service's key space.
@@ -34,9 +34,9 @@
   std::string prefix;          ///< Begins and ends with a slash.
   bool repeatable = false;     ///< A request may be run more than once.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  Duration objective{0};       ///< An answer within this time is on time.
+  Duration objective{0};       ///< Response time that the route aims at.
   Duration timeout{0};         ///< Longest time until the final answer.
-  std::uint32_t attempts = 1;  ///< Servers that one request may be sent to.
+  std::uint32_t attempts = 1;  ///< Maximum number of sends of one request.
   std::vector<Destination> destinations;
 };
 
@@ -96,8 +96,8 @@
   ServiceName service;
   DaemonName coordinator;
   Incarnation coordinator_incarnation;
-  TermEpoch term;                ///< Rises with each change of the coordinator.
-  Epoch next_epoch{1};           ///< Above every epoch used so far.
+  TermEpoch term;       ///< Increases with each change of the coordinator.
+  Epoch next_epoch{1};  ///< Above every epoch used so far.
   std::vector<KeyRange> ranges;  ///< Sorted, without gaps; cover all keys.
   bool operator==(const OwnerMap&) const = default;
 };
--- a/src/fleet/ownership.h
+++ b/src/fleet/ownership.h
@@ -5,9 +5,10 @@
 
 /// Exclusive ownership of keys. One daemon coordinates a service: it changes
 /// the map in the store by conditional update, and only then sends orders to
-/// the servers. Every change of owner has a higher epoch, with which the keys
-/// are released by the former owner first. If that does not answer, the
-/// coordinator waits until every grant to it has expired.
+/// the servers. Every change of owner has a higher epoch. Before the new owner
+/// is granted the keys, the former owner has to release them at that epoch; if
+/// it does not answer, the coordinator waits until every grant to it has
+/// expired.
 namespace eelgrasspin::fleet {
 
 void on_map(State& state, const MapSeen& seen, TimePoint now, Effects& effects);
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -6,23 +6,23 @@
 
 #include "fleet/model.h"
 
-/// Decides which keys move to which server: of the most loaded server's keys,
-/// the run of neighbouring hot keys whose load fits best goes to the least
-/// loaded server. Made for load that is uneven over the keys and changes within
-/// seconds.
+/// Decides which keys move to which server: a run of neighbouring keys with
+/// requests moves from the most to the least loaded server. Of the possible
+/// runs, the one is chosen whose load best balances the two. Designed for load
+/// that is uneven over the keys and changes within seconds.
 namespace eelgrasspin::fleet {
 
 struct PlacedServer {
   ServerIncarnation incarnation;
-  double capacity = 1.0;  ///< Requests a second that it can serve.
+  double capacity = 1.0;  ///< Requests per second that it can serve.
 };
 
-/// What a placement round is decided from.
+/// Input of a placement round.
 struct PlacementInput {
   std::vector<KeyRange> ranges;
   std::vector<bool> movable;  ///< Whether each range may move.
   std::vector<PlacedServer> servers;
-  std::map<ShardKey, double> request_rates;  ///< Requests a second.
+  std::map<ShardKey, double> request_rates;  ///< Requests per second.
 };
 
 struct Move {
--- a/src/fleet/registry.cc
+++ b/src/fleet/registry.cc
@@ -98,7 +98,7 @@
 
 void on_servers_listed(State& state, const ServersListed& listed, TimePoint now,
                        Effects& effects) {
-  // The list is older than changes that have been applied since.
+  // A list that is older than changes already applied is ignored.
   auto view = state.views.find(StoreView::kServers);
   if (listed.as_of.value > 0 && view != state.views.end() &&
       listed.as_of < view->second.as_of) {
--- a/src/fleet/registry.h
+++ b/src/fleet/registry.h
@@ -24,7 +24,8 @@
 /// Whether this incarnation is listed and not leaving.
 bool is_current(const State& state, const ServerIncarnation& server);
 ServerIncarnation incarnation_of(const Server& server);
-/// Requests of this daemon and of all daemons alive at the server.
+/// Number of requests at the server, of this daemon and of all others that are
+/// alive.
 std::uint32_t load_at(const State& state, const ServerState& server,
                       TimePoint now);
 
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -13,8 +13,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Decayed request count of a key per request a second: a steady rate adds up
-/// to the requests of this many seconds.
+/// Ratio of a key's decayed request count to its request rate: at a steady
+/// rate, the count equals the requests of this many seconds.
 const double kKeyLoadSeconds =
     static_cast<double>(config::kKeyLoadHalfLife.count()) / 1e6 / 0.6931;
 /// Answers from which on a server's measured service time is used.
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -136,7 +136,7 @@
     update.since_outage = now - std::min(now, state.outage_ended_at);
   }
   view.answered_at = now;
-  // The answer is older than changes that the relay has sent since.
+  // An answer that is older than changes sent by the relay is ignored.
   if (update.as_of < view.as_of) return;
   view.as_of = std::max(view.as_of, update.as_of);
   if (has_no_changes(update)) return;
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -24,7 +24,7 @@
 }
 
 /// Addresses of the relays of the other zones in the own region, or in other
-/// regions. All daemons of a zone without a known relay.
+/// regions. For a zone without a known relay, the addresses of all its daemons.
 std::vector<Endpoint> relay_addresses(const State& state, bool other_region,
                                       TimePoint now) {
   const DaemonRecord& self = state.settings.self;
--- a/src/fleet/zone_relay.h
+++ b/src/fleet/zone_relay.h
@@ -28,12 +28,12 @@
 /// Sends the heartbeats of the own zone to other zones, if this daemon is its
 /// relay.
 void send_batches(State& state, TimePoint now, Effects& effects);
-/// Sends the key loads of each keyed service towards its coordinator: directly
-/// from the relays and from the coordinator's zone, else to the own relay.
+/// Sends the key loads of each keyed service to its coordinator if this daemon
+/// is in the coordinator's zone or is its own zone's relay, else to the relay.
 void send_key_loads(State& state, TimePoint now, Effects& effects);
 
-/// Whether heartbeats to other regions contain the server's load. Regions share
-/// few servers besides those that own keys.
+/// Whether heartbeats to other regions contain the server's load. Apart
+/// from servers that own keys, few receive requests from several regions.
 bool matters_to_other_regions(const State& state, const ServerState& server);
 
 }  // namespace eelgrasspin::fleet
