--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -183,7 +183,7 @@
   change.coordinator_incarnation =
       Incarnation(number(object.at("coordinator_incarnation")));
   change.term = TermEpoch(number(object.at("term")));
-  change.next_epoch = Epoch(number(object.at("next_epoch")));
+  change.last_epoch = Epoch(number(object.at("next_epoch")));
   for (const json::value& value : object.at("ranges").as_array()) {
     change.ranges.push_back(range_of(value));
   }
@@ -211,7 +211,7 @@
   map.coordinator_incarnation =
       Incarnation(number(object.at("coordinator_incarnation")));
   map.term = TermEpoch(number(object.at("term")));
-  map.next_epoch = Epoch(number(object.at("next_epoch")));
+  map.last_epoch = Epoch(number(object.at("next_epoch")));
   for (const json::value& value : object.at("ranges").as_array()) {
     map.ranges.push_back(range_of(value));
   }
@@ -300,7 +300,7 @@
       {"coordinator", change.coordinator.str()},
       {"coordinator_incarnation", change.coordinator_incarnation.value},
       {"term", change.term.value},
-      {"next_epoch", change.next_epoch.value},
+      {"next_epoch", change.last_epoch.value},
       {"ranges", ranges_array(change.ranges)}});
 }
 
@@ -326,7 +326,7 @@
       {"coordinator", map.coordinator.str()},
       {"coordinator_incarnation", map.coordinator_incarnation.value},
       {"term", map.term.value},
-      {"next_epoch", map.next_epoch.value},
+      {"next_epoch", map.last_epoch.value},
       {"ranges", ranges_array(map.ranges)}});
 }
 
--- a/src/fleet/model.cc
+++ b/src/fleet/model.cc
@@ -38,7 +38,7 @@
                    after.coordinator,
                    after.coordinator_incarnation,
                    after.term,
-                   after.next_epoch,
+                   after.last_epoch,
                    {}};
   for (const KeyRange& range : after.ranges) {
     const KeyRange* old = find_range(before, range.first);
@@ -53,7 +53,7 @@
   next.coordinator = change.coordinator;
   next.coordinator_incarnation = change.coordinator_incarnation;
   next.term = change.term;
-  next.next_epoch = change.next_epoch;
+  next.last_epoch = change.last_epoch;
   std::erase_if(next.ranges, [&](const KeyRange& range) {
     return std::any_of(
         change.ranges.begin(), change.ranges.end(),
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -97,7 +97,7 @@
   DaemonName coordinator;
   Incarnation coordinator_incarnation;
   TermEpoch term;       ///< Increases with each change of the coordinator.
-  Epoch next_epoch{1};  ///< Above every epoch used so far.
+  Epoch last_epoch{1};  ///< The highest epoch used so far.
   std::vector<KeyRange> ranges;  ///< Sorted, without gaps; cover all keys.
   bool operator==(const OwnerMap&) const = default;
 };
@@ -221,7 +221,7 @@
   DaemonName coordinator;
   Incarnation coordinator_incarnation;
   TermEpoch term;
-  Epoch next_epoch{1};
+  Epoch last_epoch{1};
   /// Changed ranges; they replace the ranges that they overlap.
   std::vector<KeyRange> ranges;
 };
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -162,8 +162,8 @@
     auto lease = map.coordinator_role->leases.find(range.first);
     if (lease == map.coordinator_role->leases.end() || !lease->second.fenced)
       continue;
-    next.next_epoch = next.next_epoch.next();
-    range.epoch = next.next_epoch;
+    next.last_epoch = next.last_epoch.next();
+    range.epoch = next.last_epoch;
     changed = true;
   }
   return changed;
@@ -210,15 +210,15 @@
     if (usable(range)) continue;
     auto to = replacement_owner(state, range.owner, input);
     if (!to) continue;
-    next.next_epoch = next.next_epoch.next();
-    assign(input.ranges, {range.first, range.last, *to}, next.next_epoch);
+    next.last_epoch = next.last_epoch.next();
+    assign(input.ranges, {range.first, range.last, *to}, next.last_epoch);
     log_event(effects, "keys_rehomed",
               {{"service", service.str()},
                {"keys", std::to_string(range.first.value) + "-" +
                             std::to_string(range.last.value)},
                {"from", range.owner.name.str()},
                {"to", to->name.str()},
-               {"epoch", text(next.next_epoch.value)}});
+               {"epoch", text(next.last_epoch.value)}});
     changed = true;
   }
   next.ranges = std::move(input.ranges);
@@ -272,15 +272,15 @@
   mark_low_traffic(input, *map.coordinator_role);
   std::vector<Move> moves = plan_moves(input);
   for (const Move& move : moves) {
-    next.next_epoch = next.next_epoch.next();
-    assign(next.ranges, move, next.next_epoch);
+    next.last_epoch = next.last_epoch.next();
+    assign(next.ranges, move, next.last_epoch);
     map.coordinator_role->last_moves[move.first] = now;
     log_event(effects, "keys_moved",
               {{"service", service.str()},
                {"keys", std::to_string(move.first.value) + "-" +
                             std::to_string(move.last.value)},
                {"to", move.to.name.str()},
-               {"epoch", text(next.next_epoch.value)},
+               {"epoch", text(next.last_epoch.value)},
                {"hot_keys", text(input.request_rates.size())}});
   }
   return !moves.empty();
@@ -299,8 +299,8 @@
   map.coordinator = state.settings.self.name;
   map.coordinator_incarnation = state.settings.self.incarnation;
   map.term = TermEpoch(1);
-  map.next_epoch = Epoch(1);
-  map.ranges = initial_ranges(servers, map.next_epoch);
+  map.last_epoch = Epoch(1);
+  map.ranges = initial_ranges(servers, map.last_epoch);
   return map;
 }
 
@@ -309,8 +309,8 @@
   next.coordinator = state.settings.self.name;
   next.coordinator_incarnation = state.settings.self.incarnation;
   next.term = map.term.next();
-  next.next_epoch = map.next_epoch.next();
-  for (KeyRange& range : next.ranges) range.epoch = next.next_epoch;
+  next.last_epoch = map.last_epoch.next();
+  for (KeyRange& range : next.ranges) range.epoch = next.last_epoch;
   join_neighbours(next.ranges);
   return next;
 }
--- a/tests/fleet_ownership_test.cc
+++ b/tests/fleet_ownership_test.cc
@@ -165,7 +165,7 @@
 TEST(FleetOwnership, RestartedServerIsGrantedItsKeysAgain) {
   FleetWorld world(3, 4, 7);
   world.run_for(kSettlingTime);
-  Epoch before = world.stored_map()->next_epoch;
+  Epoch before = world.stored_map()->last_epoch;
   world.restart_server(2);
   world.run_for(seconds(1));
   EXPECT_TRUE(world.all_held());
