--- a/include/eelgrasspin/config.h
+++ b/include/eelgrasspin/config.h
@@ -165,9 +165,10 @@
 
 // Connections to backend servers.
 inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
-/// An idle connection counts as alive when its last answer is at most this old.
+/// A request that is not repeatable reuses an idle connection only if the
+/// connection's last answer is at most this old.
 inline constexpr Duration kMaxNonRepeatableReuseAge = milliseconds(100);
-/// An idle connection whose last answer is older than this is not reused.
+/// No request reuses an idle connection whose last answer is older than this.
 inline constexpr Duration kMaxConnectionReuseAge = seconds(2);
 
 // Streams between daemons.
--- a/include/eelgrasspin/declarations.h
+++ b/include/eelgrasspin/declarations.h
@@ -28,11 +28,13 @@
   ExecutionClass execution_class = ExecutionClass::kAtMostOnce;
 };
 
-/// Weights of the placement policy; only their ratio matters.
+/// Placement policy. A move is made if the weighted reduction of the imbalance
+/// exceeds the weighted costs of the move; only the ratio of the weights
+/// matters.
 struct PlacementWeights {
-  double imbalance = 1;
-  double churn = 1;
-  double unavailable = 1;
+  double imbalance = 1;    ///< Of the servers' load.
+  double churn = 1;        ///< Of moving a unit at all.
+  double unavailable = 1;  ///< Of the time in which a unit has no owner.
   std::uint32_t moves_per_minute = 64;
 };
 
@@ -46,6 +48,7 @@
   std::uint32_t queue_limit =
       config::kDefaultQueueLimit;  ///< Per backend server.
   IsolationPolicy on_isolation = IsolationPolicy::kKeep;
+  /// With kYield: time without the store after which a zone yields its slots.
   Duration yield_after = minutes(10);
   StoreDownPolicy when_store_down = StoreDownPolicy::kRefuse;
   PlacementWeights weights;
--- a/include/eelgrasspin/request.h
+++ b/include/eelgrasspin/request.h
@@ -12,8 +12,8 @@
 
 namespace eelgrasspin {
 
-/// A request without its body, which the receiving front end keeps under the
-/// request's id.
+/// A request without its body, which the I/O layer keeps under the request's
+/// id.
 struct RequestHead {
   ServiceName service;
   std::string method;
--- a/include/eelgrasspin/transport.h
+++ b/include/eelgrasspin/transport.h
@@ -33,8 +33,9 @@
   Epoch epoch;
   FrontEpoch front_epoch;  ///< Set for backend servers only.
   Duration time_left{0};
-  bool repeatable = false;  ///< If false, it is sent at most once, and only on
-                            ///< a connection that was alive just before.
+  /// If false, it is sent at most once, and only on a connection that is new or
+  /// on which data has just been received.
+  bool repeatable = false;
   std::shared_ptr<const Payload> payload;
 };
 
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -38,7 +38,8 @@
     }
   }
   if (promises_not_run(ended.status)) {
-    // Without the statement of the server, the status alone proves nothing.
+    // The server has not stated that it did not run the request, and the status
+    // alone does not prove it.
     request.may_have_run = true;
     if (request.route->repeatable) {
       return try_again(state, request, "unproven_refusal", now, effects);
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -235,7 +235,7 @@
 inline constexpr Duration kOutdatedViewReadDelay = milliseconds(150);
 
 // Graceful stop.
-/// Time after the order to stop in which connections are still served.
+/// Time after the order to stop in which the daemon still accepts connections.
 inline constexpr Duration kStopLinger = milliseconds(2500);
 
 }  // namespace eelgrasspin::fleet::config
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -28,7 +28,7 @@
   return "unknown";
 }
 
-/// Queue places that only callers which retry after a refusal may use.
+/// Queue places that only callers who retry after a refusal may use.
 std::uint32_t retrying_caller_allowance(const RequestState& request) {
   return request.retried_by_caller ? config::kRetryingCallerExtraQueue : 0;
 }
@@ -100,10 +100,10 @@
   }
 }
 
-/// Time without an answer after which the request is sent again. Made for
-/// requests whose work varies widely: the work of a cancelled attempt is lost,
-/// so it has as much time as leaves enough for a second one before the
-/// deadline.
+/// Time without an answer after which the request is sent again. Designed for
+/// requests whose run time varies widely: cancelling an attempt loses its work,
+/// so it may run for as long as still leaves time for a second attempt before
+/// the deadline.
 Duration response_timeout(const RequestState& request) {
   if (request.key)
     return scaled(request.expected_time, config::kOwnerResponseTimeoutFactor);
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -37,8 +37,9 @@
   return terms;
 }
 
-/// Every daemon depends on a coordinator's heartbeats, and a daemon that has
-/// just started is not known to any relay.
+/// Whether this daemon sends its heartbeats to all daemons directly: as a
+/// coordinator, because every daemon depends on its heartbeats, or shortly
+/// after its start, because no relay knows it yet.
 bool sends_to_all(const State& state, TimePoint now) {
   if (state.fleet.peers.empty() ||
       now - state.started < config::kStartAnnouncementTime) {
--- a/src/fleet/placement.cc
+++ b/src/fleet/placement.cc
@@ -226,16 +226,17 @@
   if (auto hottest = move_hottest_key(input)) return hottest;
   Loads loads = server_loads(input);
   const PlacedServer* target = server_without_keys(input);
-  bool newcomer = target != nullptr;
-  if (!newcomer) target = extreme_server(input, loads, false);
+  bool target_has_no_keys = target != nullptr;
+  if (!target_has_no_keys) target = extreme_server(input, loads, false);
   const PlacedServer* source = extreme_server(input, loads, true);
-  if (newcomer && loads.total < config::kMinRebalanceRequestsPerSecond)
+  if (target_has_no_keys &&
+      loads.total < config::kMinRebalanceRequestsPerSecond)
     source = owner_of_widest_range(input);
   if (source == nullptr || source == target) return std::nullopt;
   double mean = loads.total / total_capacity(input);
   double source_load = loads.by_server.at(source->incarnation);
   double target_load = loads.by_server.at(target->incarnation);
-  if (!newcomer &&
+  if (!target_has_no_keys &&
       (loads.total < config::kMinRebalanceRequestsPerSecond ||
        source_load < config::kOverloadRatio * mean * source->capacity)) {
     return std::nullopt;
@@ -243,7 +244,7 @@
   double excess_load = source_load - mean * source->capacity;
   double target_room = mean * target->capacity - target_load;
   double wanted_load =
-      newcomer ? target_room : std::min(excess_load, target_room);
+      target_has_no_keys ? target_room : std::min(excess_load, target_room);
   wanted_load = std::max(wanted_load, kMinWantedRequestsPerSecond);
   // A single hot key may exceed the wanted load, as long as the target is then
   // less loaded than the source is now.
@@ -252,8 +253,10 @@
   double max_load = std::max(wanted_load * kMaxLoadFit, target_limit * 0.8);
   auto run = best_key_run_of_server(input, source->incarnation, loads.per_key,
                                     wanted_load, max_load);
-  if (run && run->load < wanted_load * kMinLoadFit && !newcomer) run.reset();
-  if (!run && newcomer) run = half_of_widest(input, source->incarnation);
+  if (run && run->load < wanted_load * kMinLoadFit && !target_has_no_keys)
+    run.reset();
+  if (!run && target_has_no_keys)
+    run = half_of_widest(input, source->incarnation);
   if (!run) return std::nullopt;
   return Move{run->first, run->last, target->incarnation};
 }
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -155,7 +155,8 @@
   return changed;
 }
 
-/// Assigns ranges whose owner has seen a higher epoch a still higher one.
+/// Assigns a new epoch to ranges whose owner has refused the current one as too
+/// low.
 bool raise_fenced_epochs(const MapState& map, OwnerMap& next) {
   bool changed = false;
   for (KeyRange& range : next.ranges) {
--- a/src/fleet/store_view.cc
+++ b/src/fleet/store_view.cc
@@ -165,8 +165,9 @@
 
 void tick_store_view(State& state, TimePoint now, Effects& effects) {
   bool watch = should_watch(state, now);
-  bool alone = zone_members(state).empty() || !is_zone_relay(state, now);
-  Duration wait = alone ? config::kWatchWait : config::kRelayWatchWait;
+  bool only_for_self =
+      zone_members(state).empty() || !is_zone_relay(state, now);
+  Duration wait = only_for_self ? config::kWatchWait : config::kRelayWatchWait;
   if (watch != state.watching || wait != state.watch_wait) {
     if (watch != state.watching) {
       auto relay = zone_relay(state, state.settings.self.zone, now);
--- a/src/io/fleet_ports.h
+++ b/src/io/fleet_ports.h
@@ -137,7 +137,8 @@
   /// Builds the response that relays a server's answer to the caller.
   virtual HttpResponse make_caller_response(
       const fleet::ServerAnswer& answer) const = 0;
-  /// Builds a response of this system's own. `retry_after` 0: none is named.
+  /// Builds a response of this system's own. `retry_after` 0: it has no
+  /// Retry-After header.
   virtual HttpResponse make_router_response(
       const std::string& caller_request_id, int status, Duration retry_after,
       std::string_view reason) const = 0;
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -41,8 +41,9 @@
   /// Binds every port; errors name the ports that could not be bound.
   std::vector<Error> bind();
   void start();
-  /// Starts a graceful stop: later accepts no further connections, serves the
-  /// open requests, then calls `on_stopped`.
+  /// Starts a graceful stop: accepts no further connections after
+  /// fleet::config::kStopLinger, and calls `on_stopped` when all of them have
+  /// ended, at the latest shortly before the platform kills the process.
   void request_stop();
   /// Applies reloaded settings as far as they can change at run time.
   void reload(const fleet::Settings& settings);
