--- a/include/eelgrasspin/peer_message.h
+++ b/include/eelgrasspin/peer_message.h
@@ -96,8 +96,10 @@
 struct StoreRelay {
   ZoneName zone;
   TermEpoch coordinator_epoch;
-  Version since;     ///< Contains every change after this revision ...
-  Version revision;  ///< ... up to and including this one.
+  /// `entries` contains every change after `since`, up to and including
+  /// `revision`.
+  Version since;
+  Version revision;
   std::vector<StoreEntry> entries;
 
   bool operator==(const StoreRelay&) const = default;
--- a/src/fleet/leases.cc
+++ b/src/fleet/leases.cc
@@ -107,7 +107,7 @@
                      const KeyRange& range, const Lease& lease,
                      const ServerIncarnation& holder, TimePoint now) {
   // A grant to an earlier incarnation may have reached the next one at the same
-  // address, so that the end of the holder alone proves nothing.
+  // address, so the end of the holder does not prove that the keys are free.
   return holder.name == range.owner.name ||
          grants_expired(state, coordinator_role, range, holder, now) ||
          lease.released.count(holder) > 0;
--- a/src/io/backend_pool.cc
+++ b/src/io/backend_pool.cc
@@ -21,10 +21,10 @@
 /// A connection that is reset after a shorter idle time was not stale: its
 /// server ended or was at capacity.
 constexpr Duration kMinStaleIdleTime = milliseconds(100);
-/// A request that may run only once reuses a connection only up to this share
-/// of the idle time after which another connection was stale ...
+/// After a connection was found stale, a request that may run only once reuses
+/// a connection only up to this share of the stale connection's idle time.
 constexpr double kRunOnceStaleShare = 0.5;
-/// ... for this long after that was seen.
+/// Time for which a stale connection limits the reuse of others.
 constexpr Duration kStaleRecordLifetime = seconds(10);
 
 Duration keep_alive_of(const HttpResponse& response) {
--- a/src/io/fleet_shell.cc
+++ b/src/io/fleet_shell.cc
@@ -391,8 +391,8 @@
   if (state_.stopping) advance_stop();
 }
 
-/// Notifies the core of a suspension of the machine or a pause of the process,
-/// before it acts on anything that has queued up.
+/// Notifies the core of a suspension of the machine or a pause of the process
+/// before it processes the events that have queued up meanwhile.
 void FleetShell::detect_suspension() {
   TimePoint now = boottime_now();
   Duration gap = now - last_tick_;
--- a/src/io/store_feed.cc
+++ b/src/io/store_feed.cc
@@ -6,21 +6,24 @@
 namespace eelgrasspin::io {
 namespace {
 
-/// Wait of a watch after a failure, so that the store's return is detected at
-/// once, and of a watch that only brings this daemon up to date.
+/// Wait of a watch after a failure, short so that the store's return is
+/// detected at once, and of a single watch that brings an outdated copy up to
+/// date.
 constexpr Duration kProbeWait = milliseconds(50);
 /// Pause between a change and the next watch: changes in quick succession cost
 /// one call, and the departure of a server is still received in good time.
 constexpr Duration kWatchPause = milliseconds(200);
-/// Delay after a failed call, doubled with each consecutive failure ...
+/// Delay after a failed call; doubled with each consecutive failure, up to
+/// kMaxRetryDelay.
 constexpr Duration kFirstRetryDelay = milliseconds(100);
-/// ... up to this: entries that lapsed during an outage are registered again
-/// within two seconds of its end.
+/// Maximum delay after a failed call: well below the two seconds after an
+/// outage within which entries that lapsed during it are registered again.
 constexpr Duration kMaxRetryDelay = milliseconds(400);
 /// Delay before a daemon that could not register tries again.
 constexpr Duration kRegistrationRetryDelay = milliseconds(700);
 
-/// Daemons that were started together have registered by then.
+/// Delay after the start before the records are listed again: daemons that were
+/// started together have registered by then.
 constexpr Duration kDaemonRelistDelay = milliseconds(1500);
 
 constexpr std::string_view kDaemonPrefix = "daemon.";
