--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -134,7 +134,7 @@
   ServerIncarnation server;
 };
 
-/// State of a daemon that it sends to the others several times a second.
+/// State of a daemon that it sends to the others several times per second.
 struct Heartbeat {
   DaemonRecord daemon;
   /// Whether `daemon` has zone, region, address and capacity. Most heartbeats
