--- a/src/codec/fleet_json.cc
+++ b/src/codec/fleet_json.cc
@@ -63,7 +63,7 @@
     json::array keys;
     for (const fleet::KeyLoad& key : report.keys) {
       keys.push_back(key.key.value);
-      keys.push_back(hundredths(key.weight));
+      keys.push_back(hundredths(key.request_count));
     }
     json::array service_times;
     for (const auto& entry : report.service_times) {
@@ -100,7 +100,7 @@
   if (const json::value* daemon = object.if_contains("daemon")) {
     heartbeat.daemon = daemon_of(daemon->as_object());
   } else {
-    heartbeat.full = false;
+    heartbeat.has_full_record = false;
     heartbeat.daemon.name = DaemonName(text_of(object, "name"));
     heartbeat.daemon.incarnation =
         Incarnation(number(object.at("incarnation")));
@@ -183,7 +183,7 @@
   change.coordinator_incarnation =
       Incarnation(number(object.at("coordinator_incarnation")));
   change.term = TermEpoch(number(object.at("term")));
-  change.next_epoch = Epoch(number(object.at("next_epoch")));
+  change.last_epoch = Epoch(number(object.at("next_epoch")));
   for (const json::value& value : object.at("ranges").as_array()) {
     change.ranges.push_back(range_of(value));
   }
@@ -211,7 +211,7 @@
   map.coordinator_incarnation =
       Incarnation(number(object.at("coordinator_incarnation")));
   map.term = TermEpoch(number(object.at("term")));
-  map.next_epoch = Epoch(number(object.at("next_epoch")));
+  map.last_epoch = Epoch(number(object.at("next_epoch")));
   for (const json::value& value : object.at("ranges").as_array()) {
     map.ranges.push_back(range_of(value));
   }
@@ -237,7 +237,7 @@
   json::object object = {{"seq", heartbeat.sequence},
                          {"terms", std::move(terms)},
                          {"loads", std::move(loads)}};
-  if (heartbeat.full) {
+  if (heartbeat.has_full_record) {
     object["daemon"] = daemon_object(heartbeat.daemon);
   } else {
     object["name"] = heartbeat.daemon.name.str();
@@ -269,7 +269,7 @@
 
 fleet::HeartbeatBatch heartbeat_batch_of(const json::object& object) {
   fleet::HeartbeatBatch batch;
-  batch.relay = object.if_contains("relay") != nullptr;
+  batch.forward_within_zone = object.if_contains("relay") != nullptr;
   for (const json::value& heartbeat : object.at("heartbeats").as_array()) {
     batch.heartbeats.push_back(heartbeat_of(heartbeat.as_object()));
   }
@@ -288,7 +288,7 @@
     heartbeats.push_back(heartbeat_object(heartbeat));
   }
   json::object object = {{"heartbeats", std::move(heartbeats)}};
-  if (batch.relay) object["relay"] = true;
+  if (batch.forward_within_zone) object["relay"] = true;
   return json::serialize(object);
 }
 
@@ -300,7 +300,7 @@
       {"coordinator", change.coordinator.str()},
       {"coordinator_incarnation", change.coordinator_incarnation.value},
       {"term", change.term.value},
-      {"next_epoch", change.next_epoch.value},
+      {"next_epoch", change.last_epoch.value},
       {"ranges", ranges_array(change.ranges)}});
 }
 
@@ -326,7 +326,7 @@
       {"coordinator", map.coordinator.str()},
       {"coordinator_incarnation", map.coordinator_incarnation.value},
       {"term", map.term.value},
-      {"next_epoch", map.next_epoch.value},
+      {"next_epoch", map.last_epoch.value},
       {"ranges", ranges_array(map.ranges)}});
 }
 
--- a/src/fleet/attempts.cc
+++ b/src/fleet/attempts.cc
@@ -38,7 +38,8 @@
     }
   }
   if (promises_not_run(ended.status)) {
-    // Without the statement of the server, the status alone proves nothing.
+    // The server has not stated that it did not run the request, and the status
+    // alone does not prove it.
     request.may_have_run = true;
     if (request.route->repeatable) {
       return try_again(state, request, "unproven_refusal", now, effects);
@@ -142,13 +143,13 @@
   RequestState& request = found->second;
   end_attempt(state, request);
   if (ended.result != AttemptResult::kAnswered) {
-    note(effects, "attempt_failed",
-         {{"id", request.caller_request_id},
-          {"server", request.server.str()},
-          {"status", std::to_string(ended.status)},
-          {"why", ended.why},
-          {"after", text(now - request.sent_at)},
-          {"load_at_send", std::to_string(request.in_flight_at_send)}});
+    log_event(effects, "attempt_failed",
+              {{"id", request.caller_request_id},
+               {"server", request.server.str()},
+               {"status", std::to_string(ended.status)},
+               {"why", ended.why},
+               {"after", text(now - request.sent_at)},
+               {"load_at_send", std::to_string(request.in_flight_at_send)}});
   }
   switch (ended.result) {
     case AttemptResult::kAnswered:
--- a/src/fleet/dispatch.cc
+++ b/src/fleet/dispatch.cc
@@ -28,7 +28,7 @@
   return "unknown";
 }
 
-/// Queue places that only callers which retry after a refusal may use.
+/// Queue places that only callers who retry after a refusal may use.
 std::uint32_t retrying_caller_allowance(const RequestState& request) {
   return request.retried_by_caller ? config::kRetryingCallerExtraQueue : 0;
 }
@@ -67,7 +67,7 @@
     }
   }
   if (untried.empty()) return Unavailable::kNoServer;
-  auto chosen = choose(untried, request.route->objective, ++state.draws);
+  auto chosen = choose(untried, request.route->objective, ++state.tie_breaker);
   if (!chosen) return Unavailable::kFull;
   return untried[*chosen].name;
 }
@@ -92,18 +92,18 @@
       time_left(request, now), give_up_time(request) - now + kTimeoutGrace,
       request.route->repeatable});
   if (request.sends > 1) {
-    note(effects, "request_resent",
-         {{"id", request.caller_request_id},
-          {"server", name.str()},
-          {"sends", std::to_string(request.sends)},
-          {"left", text(time_left(request, now))}});
+    log_event(effects, "request_resent",
+              {{"id", request.caller_request_id},
+               {"server", name.str()},
+               {"sends", std::to_string(request.sends)},
+               {"left", text(time_left(request, now))}});
   }
 }
 
-/// Time without an answer after which the request is sent again. Made for
-/// requests whose work varies widely: the work of a cancelled attempt is lost,
-/// so it has as much time as leaves enough for a second one before the
-/// deadline.
+/// Time without an answer after which the request is sent again. Designed for
+/// requests whose run time varies widely: cancelling an attempt loses its work,
+/// so it may run for as long as still leaves time for a second attempt before
+/// the deadline.
 Duration response_timeout(const RequestState& request) {
   if (request.key)
     return scaled(request.expected_time, config::kOwnerResponseTimeoutFactor);
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -14,7 +14,7 @@
 #include "eelgrasspin/units.h"
 
 /// Routing and key ownership for a fleet of equal daemons that share one object
-/// store. This part only decides: it does no I/O and reads no clock.
+/// store. This part only makes decisions: it does no I/O and reads no clock.
 namespace eelgrasspin::fleet {
 
 /// Position of a request in its service's key space.
@@ -34,9 +34,9 @@
   std::string prefix;          ///< Begins and ends with a slash.
   bool repeatable = false;     ///< A request may be run more than once.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  Duration objective{0};       ///< An answer within this time is on time.
+  Duration objective{0};       ///< Response time that the route aims at.
   Duration timeout{0};         ///< Longest time until the final answer.
-  std::uint32_t attempts = 1;  ///< Servers that one request may be sent to.
+  std::uint32_t attempts = 1;  ///< Maximum number of sends of one request.
   std::vector<Destination> destinations;
 };
 
@@ -96,8 +96,8 @@
   ServiceName service;
   DaemonName coordinator;
   Incarnation coordinator_incarnation;
-  TermEpoch term;                ///< Rises with each change of the coordinator.
-  Epoch next_epoch{1};           ///< Above every epoch used so far.
+  TermEpoch term;       ///< Increases with each change of the coordinator.
+  Epoch last_epoch{1};  ///< The highest epoch used so far.
   std::vector<KeyRange> ranges;  ///< Sorted, without gaps; cover all keys.
   bool operator==(const OwnerMap&) const = default;
 };
@@ -118,10 +118,10 @@
   bool operator==(const DaemonRecord&) const = default;
 };
 
-/// Exponentially decayed number of one daemon's requests for one key.
+/// Requests of one daemon, or of all daemons of a zone, for one key.
 struct KeyLoad {
   ShardKey key;
-  double weight = 0;
+  double request_count = 0;  ///< Decayed exponentially.
 };
 
 /// Identifies a request by caller, target and body; equal if the caller sends
@@ -134,12 +134,12 @@
   ServerIncarnation server;
 };
 
-/// State of a daemon that it sends to the others several times a second.
+/// State of a daemon that it sends to the others several times per second.
 struct Heartbeat {
   DaemonRecord daemon;
-  /// Whether `daemon` has zone, region and address; most heartbeats leave them
-  /// out.
-  bool full = true;
+  /// Whether `daemon` has zone, region, address and capacity. Most heartbeats
+  /// contain only its name and incarnation.
+  bool has_full_record = true;
   std::uint64_t sequence = 0;
   bool stopping = false;
   /// Time since the last answer of the store if the last call to it failed,
@@ -209,8 +209,8 @@
 /// zone.
 struct HeartbeatBatch {
   std::vector<Heartbeat> heartbeats;
-  /// The receiver has to forward the batch to the daemons of its zone.
-  bool relay = false;
+  /// Set if the receiver has to forward the batch to the daemons of its zone.
+  bool forward_within_zone = false;
 };
 
 /// Change that a coordinator made to its map; sent to all daemons at once.
@@ -221,7 +221,7 @@
   DaemonName coordinator;
   Incarnation coordinator_incarnation;
   TermEpoch term;
-  Epoch next_epoch{1};
+  Epoch last_epoch{1};
   /// Changed ranges; they replace the ranges that they overlap.
   std::vector<KeyRange> ranges;
 };
--- a/src/fleet/peers.cc
+++ b/src/fleet/peers.cc
@@ -37,8 +37,9 @@
   return terms;
 }
 
-/// Every daemon depends on a coordinator's heartbeats, and a daemon that has
-/// just started is not known to any relay.
+/// Whether this daemon sends its heartbeats to all daemons directly: as a
+/// coordinator, because every daemon depends on its heartbeats, or shortly
+/// after its start, because no relay knows it yet.
 bool sends_to_all(const State& state, TimePoint now) {
   if (state.fleet.peers.empty() ||
       now - state.started < config::kStartAnnouncementTime) {
@@ -69,9 +70,9 @@
       ++it;
       continue;
     }
-    note(effects, "daemon_forgotten",
-         {{"daemon", it->first.str()},
-          {"silent", text(now - it->second.received_at)}});
+    log_event(effects, "daemon_forgotten",
+              {{"daemon", it->first.str()},
+               {"silent", text(now - it->second.received_at)}});
     state.fleet.daemon_records.erase(it->first);
     for (auto& [server, loads] : state.fleet.loads) loads.erase(it->first);
     it = state.fleet.peers.erase(it);
@@ -120,12 +121,12 @@
     }
   }
   if (!is_alive(state, from, now)) {
-    note(effects, "daemon_heard",
-         {{"daemon", from.str()},
-          {"incarnation", text(heartbeat.daemon.incarnation.value)}});
+    log_event(effects, "daemon_heard",
+              {{"daemon", from.str()},
+               {"incarnation", text(heartbeat.daemon.incarnation.value)}});
   }
   auto known = state.fleet.daemon_records.find(from);
-  if (heartbeat.full) {
+  if (heartbeat.has_full_record) {
     state.fleet.daemon_records[from] = heartbeat.daemon;
   } else if (known != state.fleet.daemon_records.end()) {
     known->second.incarnation = heartbeat.daemon.incarnation;
@@ -155,8 +156,9 @@
   Heartbeat heartbeat;
   heartbeat.daemon = state.settings.self;
   heartbeat.sequence = ++state.fleet.sequence;
-  heartbeat.full = heartbeat.sequence % config::kHeartbeatsPerFullRecord == 1 ||
-                   now - state.started < config::kFullRecordsAfterStart;
+  heartbeat.has_full_record =
+      heartbeat.sequence % config::kHeartbeatsPerFullRecord == 1 ||
+      now - state.started < config::kFullRecordsAfterStart;
   heartbeat.stopping = state.stopping;
   heartbeat.store_unreachable_for = store_unreachable_for(state, now);
   heartbeat.terms = own_terms(state, now);
--- a/src/fleet/replan.cc
+++ b/src/fleet/replan.cc
@@ -13,8 +13,8 @@
 namespace eelgrasspin::fleet {
 namespace {
 
-/// Decayed request count of a key per request a second: a steady rate adds up
-/// to the requests of this many seconds.
+/// Ratio of a key's decayed request count to its request rate: at a steady
+/// rate, the count equals the requests of this many seconds.
 const double kKeyLoadSeconds =
     static_cast<double>(config::kKeyLoadHalfLife.count()) / 1e6 / 0.6931;
 /// Answers from which on a server's measured service time is used.
@@ -107,8 +107,8 @@
 }
 
 void add_key_load(std::map<ShardKey, double>& rates, ShardKey key,
-                  double weight) {
-  rates[key] += weight / kKeyLoadSeconds;
+                  double request_count) {
+  rates[key] += request_count / kKeyLoadSeconds;
 }
 
 std::map<ShardKey, double> key_request_rates(const State& state,
@@ -117,8 +117,8 @@
   std::map<ShardKey, double> rates;
   auto own = state.key_loads.find(service);
   if (own != state.key_loads.end()) {
-    for (const auto& [key, weight] : own->second.request_counts) {
-      add_key_load(rates, ShardKey(key), weight);
+    for (const auto& [key, request_count] : own->second.request_counts) {
+      add_key_load(rates, ShardKey(key), request_count);
     }
   }
   for (const auto& [name, peer] : state.fleet.peers) {
@@ -127,7 +127,7 @@
     for (const auto& report : peer.heartbeat.key_load_reports) {
       if (report.service != service) continue;
       for (const KeyLoad& key : report.keys) {
-        add_key_load(rates, key.key, key.weight);
+        add_key_load(rates, key.key, key.request_count);
       }
     }
   }
@@ -155,15 +155,16 @@
   return changed;
 }
 
-/// Assigns ranges whose owner has seen a higher epoch a still higher one.
+/// Assigns a new epoch to ranges whose owner has refused the current one as too
+/// low.
 bool raise_fenced_epochs(const MapState& map, OwnerMap& next) {
   bool changed = false;
   for (KeyRange& range : next.ranges) {
     auto lease = map.coordinator_role->leases.find(range.first);
     if (lease == map.coordinator_role->leases.end() || !lease->second.fenced)
       continue;
-    next.next_epoch = next.next_epoch.next();
-    range.epoch = next.next_epoch;
+    next.last_epoch = next.last_epoch.next();
+    range.epoch = next.last_epoch;
     changed = true;
   }
   return changed;
@@ -210,15 +211,15 @@
     if (usable(range)) continue;
     auto to = replacement_owner(state, range.owner, input);
     if (!to) continue;
-    next.next_epoch = next.next_epoch.next();
-    assign(input.ranges, {range.first, range.last, *to}, next.next_epoch);
-    note(effects, "keys_rehomed",
-         {{"service", service.str()},
-          {"keys", std::to_string(range.first.value) + "-" +
-                       std::to_string(range.last.value)},
-          {"from", range.owner.name.str()},
-          {"to", to->name.str()},
-          {"epoch", text(next.next_epoch.value)}});
+    next.last_epoch = next.last_epoch.next();
+    assign(input.ranges, {range.first, range.last, *to}, next.last_epoch);
+    log_event(effects, "keys_rehomed",
+              {{"service", service.str()},
+               {"keys", std::to_string(range.first.value) + "-" +
+                            std::to_string(range.last.value)},
+               {"from", range.owner.name.str()},
+               {"to", to->name.str()},
+               {"epoch", text(next.last_epoch.value)}});
     changed = true;
   }
   next.ranges = std::move(input.ranges);
@@ -272,16 +273,16 @@
   mark_low_traffic(input, *map.coordinator_role);
   std::vector<Move> moves = plan_moves(input);
   for (const Move& move : moves) {
-    next.next_epoch = next.next_epoch.next();
-    assign(next.ranges, move, next.next_epoch);
+    next.last_epoch = next.last_epoch.next();
+    assign(next.ranges, move, next.last_epoch);
     map.coordinator_role->last_moves[move.first] = now;
-    note(effects, "keys_moved",
-         {{"service", service.str()},
-          {"keys", std::to_string(move.first.value) + "-" +
-                       std::to_string(move.last.value)},
-          {"to", move.to.name.str()},
-          {"epoch", text(next.next_epoch.value)},
-          {"hot_keys", text(input.request_rates.size())}});
+    log_event(effects, "keys_moved",
+              {{"service", service.str()},
+               {"keys", std::to_string(move.first.value) + "-" +
+                            std::to_string(move.last.value)},
+               {"to", move.to.name.str()},
+               {"epoch", text(next.last_epoch.value)},
+               {"hot_keys", text(input.request_rates.size())}});
   }
   return !moves.empty();
 }
@@ -299,8 +300,8 @@
   map.coordinator = state.settings.self.name;
   map.coordinator_incarnation = state.settings.self.incarnation;
   map.term = TermEpoch(1);
-  map.next_epoch = Epoch(1);
-  map.ranges = initial_ranges(servers, map.next_epoch);
+  map.last_epoch = Epoch(1);
+  map.ranges = initial_ranges(servers, map.last_epoch);
   return map;
 }
 
@@ -309,8 +310,8 @@
   next.coordinator = state.settings.self.name;
   next.coordinator_incarnation = state.settings.self.incarnation;
   next.term = map.term.next();
-  next.next_epoch = map.next_epoch.next();
-  for (KeyRange& range : next.ranges) range.epoch = next.next_epoch;
+  next.last_epoch = map.last_epoch.next();
+  for (KeyRange& range : next.ranges) range.epoch = next.last_epoch;
   join_neighbours(next.ranges);
   return next;
 }
--- a/src/fleet/zone_relay.cc
+++ b/src/fleet/zone_relay.cc
@@ -24,7 +24,7 @@
 }
 
 /// Addresses of the relays of the other zones in the own region, or in other
-/// regions. All daemons of a zone without a known relay.
+/// regions. For a zone without a known relay, the addresses of all its daemons.
 std::vector<Endpoint> relay_addresses(const State& state, bool other_region,
                                       TimePoint now) {
   const DaemonRecord& self = state.settings.self;
@@ -49,9 +49,9 @@
 
 HeartbeatBatch own_batch(State& state, bool other_region, TimePoint now) {
   HeartbeatBatch batch;
-  batch.relay = true;
+  batch.forward_within_zone = true;
   batch.heartbeats.push_back(own_heartbeat(state, now, other_region));
-  bool full =
+  bool with_full_records =
       ++state.fleet.batches_sent % config::kHeartbeatsPerFullRecord == 1;
   for (const auto& [name, peer] : state.fleet.peers) {
     auto known = state.fleet.daemon_records.find(name);
@@ -62,7 +62,7 @@
     }
     Heartbeat heartbeat = peer.heartbeat;
     heartbeat.daemon = known->second;
-    heartbeat.full = full;
+    heartbeat.has_full_record = with_full_records;
     heartbeat.key_load_reports.clear();
     heartbeat.view.reset();
     heartbeat.age = now - peer.received_at;
@@ -110,8 +110,8 @@
                        KeyLoads& keys, ServiceTimes& service_times) {
   auto found = state.key_loads.find(service);
   if (found != state.key_loads.end()) {
-    for (const auto& [key, weight] : found->second.request_counts) {
-      keys[ShardKey(key)] += weight;
+    for (const auto& [key, request_count] : found->second.request_counts) {
+      keys[ShardKey(key)] += request_count;
     }
   }
   auto servers = state.by_service.find(service);
@@ -138,7 +138,7 @@
     }
     for (const auto& report : peer.heartbeat.key_load_reports) {
       if (report.service != service) continue;
-      for (const KeyLoad& key : report.keys) keys[key.key] += key.weight;
+      for (const KeyLoad& key : report.keys) keys[key.key] += key.request_count;
       for (const auto& measured : report.service_times)
         add_service_time(service_times, measured);
     }
@@ -153,7 +153,8 @@
   add_own_key_loads(state, service, keys, service_times);
   if (for_zone) add_zone_key_loads(state, service, now, keys, service_times);
   Heartbeat::KeyLoadReport report{service, {}, {}};
-  for (const auto& [key, weight] : keys) report.keys.push_back({key, weight});
+  for (const auto& [key, request_count] : keys)
+    report.keys.push_back({key, request_count});
   std::size_t kept =
       std::min(report.keys.size(), for_zone ? config::kMaxRelayReportedKeys
                                             : config::kMaxReportedKeys);
@@ -161,7 +162,7 @@
                     report.keys.begin() + static_cast<std::ptrdiff_t>(kept),
                     report.keys.end(),
                     [](const KeyLoad& left, const KeyLoad& right) {
-                      return left.weight > right.weight;
+                      return left.request_count > right.request_count;
                     });
   report.keys.resize(kept);
   for (const auto& [name, measured] : service_times)
@@ -210,11 +211,11 @@
     updated = accept_heartbeat(state, heartbeat, now, effects) || updated;
   }
   if (!updated) return;
-  if (received.batch.relay) {
+  if (received.batch.forward_within_zone) {
     std::vector<Endpoint> to = zone_members(state);
     if (!to.empty()) {
       HeartbeatBatch copy = received.batch;
-      copy.relay = false;
+      copy.forward_within_zone = false;
       effects.emplace_back(SendHeartbeatBatch{std::move(copy), std::move(to)});
     }
   }
--- a/src/io/fleet_shell.h
+++ b/src/io/fleet_shell.h
@@ -41,8 +41,9 @@
   /// Binds every port; errors name the ports that could not be bound.
   std::vector<Error> bind();
   void start();
-  /// Starts a graceful stop: later accepts no further connections, serves the
-  /// open requests, then calls `on_stopped`.
+  /// Starts a graceful stop: accepts no further connections after
+  /// fleet::config::kStopLinger, and calls `on_stopped` when all of them have
+  /// ended, at the latest shortly before the platform kills the process.
   void request_stop();
   /// Applies reloaded settings as far as they can change at run time.
   void reload(const fleet::Settings& settings);
@@ -64,8 +65,8 @@
   void receive_datagram();
   void on_datagram(std::size_t size);
   void on_metrics(const std::shared_ptr<HttpExchange>& exchange);
-  void log_note(const fleet::Note& note);
-  void count_event(const fleet::Note& note);
+  void on_log_event(const fleet::LogEvent& event);
+  void count_event(const fleet::LogEvent& event);
   void tick();
   void detect_suspension();
   void apply_caller_limits();
