--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -151,7 +151,8 @@
   IntentState state = IntentState::kIntended;
   std::uint16_t status = 0;  ///< HTTP status of the answer, if answered.
   WallTime recorded;
-  std::uint64_t intent_id = 0;  ///< Unique id of the request that recorded it.
+  std::uint64_t intent_id =
+      0;  ///< Unique; a repeat of the request has another.
 
   bool operator==(const Intent&) const = default;
 };
--- a/src/core/effect.h
+++ b/src/core/effect.h
@@ -111,7 +111,7 @@
   CommandAnswer answer;
 };
 
-/// Write an event to the log; the time line has it already.
+/// Write an event to the log; it is on the timeline already.
 struct LogEvent {
   TimelineEvent event;
 };
--- a/src/core/membership/coordinator_lease.cc
+++ b/src/core/membership/coordinator_lease.cc
@@ -105,12 +105,12 @@
                             ObservedLease& lease, const SettledWrite& write,
                             Now now, Effects& effects) {
   const CoordinatorLease* stored = stored_lease(state, zone);
-  bool ours = write.took_effect && stored != nullptr &&
-              stored->holder == state.self.name;
-  if (!ours || stored->released) {
-    give_up_lease(state, zone, lease, ours ? "released" : "taken over", now,
-                  effects);
-    if (ours) announce_coordinator(state, zone, effects);
+  bool is_own_lease = write.took_effect && stored != nullptr &&
+                      stored->holder == state.self.name;
+  if (!is_own_lease || stored->released) {
+    give_up_lease(state, zone, lease, is_own_lease ? "released" : "taken over",
+                  now, effects);
+    if (is_own_lease) announce_coordinator(state, zone, effects);
     return;
   }
   lease.held = true;
@@ -156,9 +156,9 @@
   if (lease.active && now.mono >= lease.valid_until)
     end_coordinator_role(state, zone, lease, "lapsed", now, effects);
   const CoordinatorLease* stored = stored_lease(state, zone);
-  bool ours = stored != nullptr && stored->holder == state.self.name &&
-              stored->epoch == lease.epoch && !stored->released;
-  if (!ours) {
+  bool is_own_lease = stored != nullptr && stored->holder == state.self.name &&
+                      stored->epoch == lease.epoch && !stored->released;
+  if (!is_own_lease) {
     give_up_lease(state, zone, lease, "taken over", now, effects);
     return;
   }
@@ -321,9 +321,9 @@
                            Now now) {
   const ObservedLease* lease = observed_lease(state, zone);
   if (lease == nullptr) return true;
-  TimePoint silent_since =
+  TimePoint timeout_start =
       std::max(lease->last_coordinator_message, state.membership.running_since);
-  return now.mono - silent_since > config::kCoordinatorTimeout;
+  return now.mono - timeout_start > config::kCoordinatorTimeout;
 }
 
 void release_lease(core::State& state, const ZoneName& zone) {
--- a/src/core/membership/lost_members.cc
+++ b/src/core/membership/lost_members.cc
@@ -50,22 +50,22 @@
                       const RosterMember& member, Now now) {
   const ObservedLease* lease = observed_lease(state, zone);
   const Peer* peer = find_peer(state, member.daemon);
-  // Members send heartbeats only to the coordinator, so their silence counts
-  // from the start of this daemon's role at the earliest, unless they are known
-  // to have ended. The previous coordinator answered this daemon's heartbeats,
-  // so its silence counts from its last message.
-  TimePoint silent_since = state.membership.running_since;
+  // Members send heartbeats only to the coordinator, so their timeout starts at
+  // the start of this daemon's coordinator role at the earliest, unless they
+  // are known to have ended. The previous coordinator answered this daemon's
+  // heartbeats, so its timeout starts at its last message.
+  TimePoint timeout_start = state.membership.running_since;
   bool received = peer != nullptr && (peer->incarnation == member.incarnation ||
                                       peer->incarnation.value == 0);
-  if (received) silent_since = std::max(silent_since, peer->last_received);
+  if (received) timeout_start = std::max(timeout_start, peer->last_received);
   bool was_coordinator =
       received && lease != nullptr && member.daemon == lease->previous_holder;
   bool known_to_have_ended =
       daemon_vm_gone(state, member.daemon) ||
       is_fenced(state, member.daemon, member.incarnation);
   if (lease != nullptr && !was_coordinator && !known_to_have_ended)
-    silent_since = std::max(silent_since, lease->coordinator_since);
-  return now.mono - silent_since > config::kDaemonLostAfter;
+    timeout_start = std::max(timeout_start, lease->coordinator_since);
+  return now.mono - timeout_start > config::kDaemonLostAfter;
 }
 
 void track_lost_members(core::State& state, const ZoneName& zone, Now now) {
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -253,7 +253,7 @@
 }
 
 /// A coordinator from another zone releases its lease once a daemon of the zone
-/// itself is a member and has the fronts, and this one is a member no more.
+/// itself is a member and has the fronts, and this one is no longer a member.
 void release_other_zone(core::State& state, const ZoneRoster& current,
                         Now now) {
   if (current.zone == state.self.zone) return;
--- a/src/core/membership/state.h
+++ b/src/core/membership/state.h
@@ -39,12 +39,14 @@
   StoreOpId watch_op;
   TimePoint watch_sent;
   TimePoint next_watch;
-  std::optional<TimePoint> last_answer;  ///< Of the store.
-  bool recorded_down = false;            ///< As last recorded on the timeline.
+  std::optional<TimePoint> last_answer;  ///< When the store last answered.
+  bool recorded_down =
+      false;  ///< The store is down, as last recorded on the timeline.
   TimePoint next_cache_request;
   Version newest_relayed;  ///< Highest version among the entries relayed.
   std::map<ZoneName, RelayedLease> relayed_leases;
-  Version adopted_declarations;  ///< Version adopted last.
+  Version adopted_declarations;  ///< Version of the declarations that were
+                                 ///< adopted last.
   /// Keys whose stored value cannot be read; the cache keeps the last readable
   /// one.
   std::set<StoreKey> damaged;
@@ -63,7 +65,8 @@
   std::optional<TimePoint> last_confirmed;
   TimePoint last_coordinator_message;  ///< From the zone's coordinator.
   bool held = false;    ///< The stored lease names this process as holder.
-  bool active = false;  ///< As last recorded on the timeline.
+  bool active = false;  ///< This daemon is the coordinator, as last recorded on
+                        ///< the timeline.
   bool releasing = false;
   TermEpoch epoch;
   TimePoint valid_until;
@@ -76,11 +79,11 @@
 struct Peer {
   Incarnation incarnation;
   Incarnation previous_incarnation;
-  TimePoint last_received;  ///< Last message.
+  TimePoint last_received;  ///< When its last message arrived.
   std::uint64_t round = 0;  ///< Newest round of its hellos.
   /// When this daemon sent the newest round that the peer has echoed.
   std::optional<TimePoint> echoed_round_sent;
-  /// Last one, without fronts and accounts.
+  /// Its last heartbeat, without the reports of fronts and the accounts.
   std::optional<Heartbeat> heartbeat;
   TimePoint heartbeat_received;
   TimePoint last_relayed;  ///< When missing entries were last sent to it.
@@ -89,7 +92,7 @@
 /// What is needed to prove that a lost daemon no longer renews grants.
 struct LostMember {
   Incarnation incarnation;
-  Version listed_version;  ///< Of the roster that lists it as lost.
+  Version listed_version;  ///< First roster version seen that lists it as lost.
   TimePoint lost_since;
   /// When each other member first promised not to answer it.
   std::map<DaemonName, TimePoint> promises;
@@ -98,7 +101,8 @@
 /// What a coordinator keeps for one zone besides its roster.
 struct CoordinatedZone {
   Version roster_version;
-  ZoneRoster recorded_roster;  ///< Roster at that version, as on the timeline.
+  ZoneRoster recorded_roster;  ///< Roster at `roster_version`, as recorded on
+                               ///< the timeline.
   std::map<DaemonName, LostMember> lost_members;
 };
 
@@ -114,7 +118,7 @@
 struct Fence {
   FenceCommand command;
   TimePoint known_since;
-  /// Declared dead and without messages since then.
+  /// Instances declared dead that have sent no message since `known_since`.
   std::set<DaemonInstance> instances;
 };
 
--- a/src/core/membership/store_sync.cc
+++ b/src/core/membership/store_sync.cc
@@ -147,8 +147,8 @@
       std::max(sync.watch_sent + config::kMinWatchInterval, now.mono);
 }
 
-/// After an own write the next watch starts at once, so that the written value
-/// is relayed without delay.
+/// After a write of this daemon the next watch starts at once, so that the
+/// written value is relayed without delay.
 void expedite_watch(core::State& state, Now now) {
   for (const SettledWrite& write : state.writer.settled) {
     bool live = write.key.str().starts_with(live_prefix().str());
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -124,15 +124,15 @@
                            Now now) {
   auto it = state.operators.leases.find(zone);
   return it == state.operators.leases.end() ||
-         now.mono - it->second.changed > config::kClosureZoneTimeout;
+         now.mono - it->second.first_seen > config::kClosureZoneTimeout;
 }
 
 void advance(core::State& state, Closure& closure, Now now) {
   ClosureStep goal = next(closure.step);
-  const Declarations* all = declarations(state.cache);
+  const Declarations* declared = declarations(state.cache);
   bool overdue = now.wall >= closure.deadline + config::kClosureZoneTimeout;
   std::vector<ZoneName> skipped;
-  for (const auto& [zone, unused] : all->zones) {
+  for (const auto& [zone, unused] : declared->zones) {
     if (step_of_zone(closure, zone) >= goal) continue;
     if (!overdue || !coordinator_timed_out(state, zone, now)) return;
     skipped.push_back(zone);
@@ -211,12 +211,12 @@
 }
 
 void observe_leases(core::State& state, Now now) {
-  const Declarations* all = declarations(state.cache);
-  for (const auto& [zone, unused] : all->zones) {
+  const Declarations* declared = declarations(state.cache);
+  for (const auto& [zone, unused] : declared->zones) {
     Version version = version_of(state.cache, coordinator_lease_key(zone));
     LeaseObservation& observation = state.operators.leases[zone];
     if (observation.version == version &&
-        observation.changed.time_since_epoch().count() != 0)
+        observation.first_seen.time_since_epoch().count() != 0)
       continue;
     observation = {version, now.mono};
   }
--- a/src/core/operator/closures.h
+++ b/src/core/operator/closures.h
@@ -13,8 +13,8 @@
 /// Closure::step is the last step that every zone has reached. Each zone's
 /// coordinator works towards the next one and writes its zone's step into the
 /// closure; the write that completes a step for all zones also advances the
-/// closure. Once the deadline has passed by config::kClosureZoneTimeout, a zone
-/// whose coordinator has timed out is skipped and listed in
+/// closure. Once the deadline was exceeded by config::kClosureZoneTimeout, a
+/// zone whose coordinator has timed out is skipped and listed in
 /// Closure::not_reported.
 namespace eelgrasspin::core::operators {
 
--- a/src/core/operator/report.cc
+++ b/src/core/operator/report.cc
@@ -16,8 +16,8 @@
 constexpr std::string_view kSummaryTitle = "summary";
 constexpr std::string_view kTotalsTitle = "totals";
 
-std::string part_title(const ZoneName& zone, std::string_view what) {
-  return std::string(kPartPrefix) + zone.str() + ": " + std::string(what);
+std::string part_title(const ZoneName& zone, std::string_view subtitle) {
+  return std::string(kPartPrefix) + zone.str() + ": " + std::string(subtitle);
 }
 
 std::string number(std::uint64_t value) { return std::to_string(value); }
@@ -336,9 +336,9 @@
 
 std::string format_time(WallTime time) {
   std::int64_t ms = to_ms(time);
-  std::time_t whole = ms / 1000;
+  std::time_t whole_seconds = ms / 1000;
   std::tm utc{};
-  gmtime_r(&whole, &utc);
+  gmtime_r(&whole_seconds, &utc);
   std::array<char, 40> text{};
   std::size_t length =
       std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &utc);
--- a/src/core/operator/state.h
+++ b/src/core/operator/state.h
@@ -70,7 +70,7 @@
 /// seen.
 struct LeaseObservation {
   Version version;
-  TimePoint changed;
+  TimePoint first_seen;
 };
 
 struct State {
--- a/src/core/ownership/coordinator.cc
+++ b/src/core/ownership/coordinator.cc
@@ -97,10 +97,10 @@
   return it != edit.servers.end() && is_usable(it->second);
 }
 
-ServerName pick_target(MapEdit& edit, const ServerName& avoid) {
+ServerName pick_target(MapEdit& edit, const ServerName& excluded) {
   std::vector<PlacementCandidate> others;
   for (const PlacementCandidate& candidate : edit.candidates) {
-    if (candidate.server != avoid) others.push_back(candidate);
+    if (candidate.server != excluded) others.push_back(candidate);
   }
   ServerName target = place_on_least_loaded(others, 1);
   for (PlacementCandidate& candidate : edit.candidates) {
@@ -248,7 +248,7 @@
       ServerName target = pick_target(edit, server);
       if (target.empty()) break;
       start_move(edit, {grant.slot, grant.key}, target, cause);
-      if (lost) ++edit.recovered;
+      if (lost) ++edit.units_recovered;
     }
   }
 }
@@ -334,10 +334,10 @@
 }
 
 void coordinate(core::State& state, Now now, Effects& effects) {
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return;
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return;
   for (const ZoneName& zone : membership::coordinated_zones(state, now)) {
-    for (const auto& [service, declared] : all->services) {
+    for (const auto& [service, declared] : all_declared->services) {
       maintain_zone_map(state, {service, zone}, now, effects);
       coordinate_service_zone(state, {service, zone}, now, effects);
       maintain_history(state, {service, zone}, now, effects);
--- a/src/core/ownership/coordinator.h
+++ b/src/core/ownership/coordinator.h
@@ -18,8 +18,8 @@
 /// coordinates.
 void coordinate(core::State& state, Now now, Effects& effects);
 
-/// Whether the owner of an unsettled unit provably holds nothing of it any
-/// more.
+/// Whether the owner of an unsettled unit provably runs no request of the unit
+/// any more and cannot start one.
 bool is_revoked(const MapEdit& edit, const Unit& unit,
                 const UnsettledUnit& unsettled);
 
--- a/src/core/ownership/front.h
+++ b/src/core/ownership/front.h
@@ -82,9 +82,9 @@
   Version map_version;       ///< Ownership map from which `units` was made.
   Version zone_map_version;  ///< Zone map from which `units` was made.
 
-  /// What was last reported of the things that the coordinator waits for.
+  /// The conditions that the coordinator waits for, as last reported.
   struct ReportedState {
-    std::size_t released = 0;
+    std::size_t released_count = 0;  ///< Number of released units.
     bool grant_expired = false;
     bool lapsed = false;
     bool holds_grant = false;
@@ -93,8 +93,9 @@
   };
   ReportedState reported_state;
 
-  // Already recorded on the timeline.
+  /// The first confirmed grant has been recorded on the timeline.
   bool confirm_recorded = false;
+  /// The server has lapsed, as last recorded on the timeline.
   bool lapse_recorded = false;
 };
 
--- a/src/core/ownership/fronts.cc
+++ b/src/core/ownership/fronts.cc
@@ -256,7 +256,7 @@
 /// has changed.
 void expedite_changed_report(core::State& state, Front& front, Now now) {
   Front::ReportedState reported_state{
-      .released = released_units(state, front, now).size(),
+      .released_count = released_units(state, front, now).size(),
       .grant_expired = has_grant_expired(state, front, now),
       .lapsed = is_lapsed(state, front, now),
       .holds_grant = holds_grant(state, front, now)};
--- a/src/core/ownership/map_edit.cc
+++ b/src/core/ownership/map_edit.cc
@@ -136,7 +136,7 @@
         make_event(edit.service_zone, event_key, units));
   zone_state.moves_started = edit.moves_started;
   zone_state.moves_finished = edit.moves_finished;
-  zone_state.recovered = edit.recovered;
+  zone_state.units_recovered = edit.units_recovered;
   StoreKey key =
       ownership_map_key(edit.service_zone.service, edit.service_zone.zone);
   start_write(edit.state, key, version_of(edit.state.cache, key),
@@ -157,7 +157,7 @@
   state.counters[Counter::kMovesFinished] +=
       std::exchange(zone_state.moves_finished, 0);
   state.counters[Counter::kSlotsRecovered] +=
-      std::exchange(zone_state.recovered, 0);
+      std::exchange(zone_state.units_recovered, 0);
   for (TimelineEvent& event : events)
     record(state, std::move(event), now, effects);
 }
--- a/src/core/ownership/map_edit.h
+++ b/src/core/ownership/map_edit.h
@@ -35,7 +35,7 @@
   std::map<EventKey, std::vector<Unit>> pending_events;
   std::uint64_t moves_started = 0;
   std::uint64_t moves_finished = 0;
-  std::uint64_t recovered = 0;
+  std::uint64_t units_recovered = 0;
 };
 
 MapEdit begin_edit(core::State& state, const ServiceZone& service_zone,
--- a/src/core/ownership/placement_orders.cc
+++ b/src/core/ownership/placement_orders.cc
@@ -142,10 +142,12 @@
     auto [it, inserted] = placement.last_hot.emplace(key, edit.now.mono);
     if (edit.now.mono - it->second < config::kColdKeyAfter) continue;
     SlotId slot = slot_of_key(edit.state.cache, edit.service_zone.service, key);
-    const SlotRecord* home = unit_record(latest_map(edit), {slot, Key()});
-    if (home == nullptr || home->phase != SlotPhase::kOwned) continue;
-    orders.emplace(Unit{slot, key},
-                   MoveOrder{.target = home->owner, .cause = "key is cold"});
+    const SlotRecord* slot_record =
+        unit_record(latest_map(edit), {slot, Key()});
+    if (slot_record == nullptr || slot_record->phase != SlotPhase::kOwned)
+      continue;
+    orders.emplace(Unit{slot, key}, MoveOrder{.target = slot_record->owner,
+                                              .cause = "key is cold"});
   }
   std::erase_if(placement.last_hot, [&](const auto& entry) {
     return !latest_map(edit).overrides.contains(entry.first) &&
--- a/src/core/ownership/state.h
+++ b/src/core/ownership/state.h
@@ -87,9 +87,9 @@
   std::map<Unit, MoveOrder> orders;
   /// Recorded when the pending write is confirmed.
   std::vector<TimelineEvent> pending_events;
-  std::uint64_t moves_started = 0;   ///< By the pending write.
-  std::uint64_t moves_finished = 0;  ///< By the pending write.
-  std::uint64_t recovered = 0;       ///< By the pending write.
+  std::uint64_t moves_started = 0;    ///< By the pending write.
+  std::uint64_t moves_finished = 0;   ///< By the pending write.
+  std::uint64_t units_recovered = 0;  ///< By the pending write.
   PlacementState placement;
   HistoryState history;
 };
--- a/src/core/request/front_queue.cc
+++ b/src/core/request/front_queue.cc
@@ -201,7 +201,8 @@
   state.request.queues[request.server].sent_attempts.erase(request.attempt);
 }
 
-/// One answer has the weight 1/8 in the moving average of a server's time.
+/// Each answer has a weight of 1/8 in the moving average of a server's service
+/// time.
 constexpr int kServiceTimeWeightDivisor = 8;
 
 void update_service_time(core::State& state, const OpenRequest& request,
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -51,13 +51,13 @@
   for (WaitingIntent& item : std::exchange(ledger.waiting, {})) {
     IntentKey key = key_of(item.intent);
     auto known = ledger.index.find(key);
-    bool same = known != ledger.index.end() &&
-                known->second.intent.intent_id == item.intent.intent_id;
+    bool same_intent = known != ledger.index.end() &&
+                       known->second.intent.intent_id == item.intent.intent_id;
     bool may_run = known == ledger.index.end() ||
                    known->second.intent.state == IntentState::kNotRun;
-    if (same && known->second.confirmed) {
+    if (same_intent && known->second.confirmed) {
       set_verdict(state, ledger, item, {.recorded = true}, effects);
-    } else if (!same && !may_run) {
+    } else if (!same_intent && !may_run) {
       set_verdict(state, ledger, item, {.earlier = known->second.intent},
                   effects);
     } else if (segment.intents.size() >= config::kMaxIntentSegmentEntries) {
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -75,7 +75,7 @@
 
 StoreOpId next_store_op(State& state);
 
-/// Adds an event to the time line and to the log. The caller sets `kind` and
+/// Adds an event to the timeline and to the log. The caller sets `kind` and
 /// the fields that apply to it; time, sequence, daemon and revision are filled
 /// in here, and so is an empty zone.
 void record(State& state, TimelineEvent event, Now now, Effects& effects);
