--- a/src/core/cache.cc
+++ b/src/core/cache.cc
@@ -32,18 +32,18 @@
 
 const ServiceDeclaration* service_declaration(const Cache& cache,
                                               const ServiceName& service) {
-  const Declarations* all = declarations(cache);
-  if (all == nullptr) return nullptr;
-  auto it = all->services.find(service);
-  return it == all->services.end() ? nullptr : &it->second;
+  const Declarations* all_declared = declarations(cache);
+  if (all_declared == nullptr) return nullptr;
+  auto it = all_declared->services.find(service);
+  return it == all_declared->services.end() ? nullptr : &it->second;
 }
 
 const ServerDeclaration* server_declaration(const Cache& cache,
                                             const ServerName& server) {
-  const Declarations* all = declarations(cache);
-  if (all == nullptr) return nullptr;
-  auto it = all->servers.find(server);
-  return it == all->servers.end() ? nullptr : &it->second;
+  const Declarations* all_declared = declarations(cache);
+  if (all_declared == nullptr) return nullptr;
+  auto it = all_declared->servers.find(server);
+  return it == all_declared->servers.end() ? nullptr : &it->second;
 }
 
 const ZoneRoster* roster(const Cache& cache, const ZoneName& zone) {
--- a/src/core/membership/liveness.cc
+++ b/src/core/membership/liveness.cc
@@ -59,23 +59,23 @@
 }
 
 Heartbeat make_heartbeat(core::State& state, Now now) {
-  Heartbeat beat{.daemon = state.self.name,
-                 .zone = state.self.zone,
-                 .address = state.self.address,
-                 .incarnation = state.self.incarnation,
-                 .round = state.membership.round,
-                 .cache_revision = state.membership.revision,
-                 .stopping = state.stopping,
-                 .reaches_store = is_store_reachable(state, now),
-                 .ignored_members = members_to_ignore(state),
-                 .fronts = ownership::front_reports(state, now)};
+  Heartbeat heartbeat{.daemon = state.self.name,
+                      .zone = state.self.zone,
+                      .address = state.self.address,
+                      .incarnation = state.self.incarnation,
+                      .round = state.membership.round,
+                      .cache_revision = state.membership.revision,
+                      .stopping = state.stopping,
+                      .reaches_store = is_store_reachable(state, now),
+                      .ignored_members = members_to_ignore(state),
+                      .fronts = ownership::front_reports(state, now)};
   TimePoint& next_accounts = state.membership.next_accounts;
   bool due = now.mono >= next_accounts || state.stopping;
   if (due || closure_in_progress(state)) {
     next_accounts = now.mono + config::kAccountInterval;
-    beat.accounts = request::accounts(state, now);
+    heartbeat.accounts = request::accounts(state, now);
   }
-  return beat;
+  return heartbeat;
 }
 
 void start_round(core::State& state, Now now) {
@@ -88,14 +88,15 @@
 }
 
 void send_heartbeats(core::State& state, Now now, Effects& effects) {
-  Heartbeat beat = make_heartbeat(state, now);
-  if (!coordinated_zones(state, now).empty()) accept_reports(state, beat, now);
+  Heartbeat heartbeat = make_heartbeat(state, now);
+  if (!coordinated_zones(state, now).empty())
+    accept_reports(state, heartbeat, now);
   for (const ZoneName& zone : involved_zones(state)) {
     Endpoint to = coordinator_address(state, zone);
     if (to.empty() || to == state.self.address) continue;
     const CoordinatorLease* lease = coordinator_lease(state.cache, zone);
-    if (lease != nullptr) beat.coordinator_epoch = lease->epoch;
-    send_peer(state, to, beat, effects);
+    if (lease != nullptr) heartbeat.coordinator_epoch = lease->epoch;
+    send_peer(state, to, heartbeat, effects);
   }
 }
 
@@ -155,45 +156,49 @@
 
 /// Sends a member the entries that its cache lacks, at most once in half a
 /// heartbeat interval.
-void relay_missing_entries(core::State& state, const Heartbeat& beat,
+void relay_missing_entries(core::State& state, const Heartbeat& heartbeat,
                            Peer& peer, Now now, Effects& effects) {
-  if (beat.cache_revision >= state.membership.sync.newest_relayed) return;
+  if (heartbeat.cache_revision >= state.membership.sync.newest_relayed) return;
   if (now.mono - peer.last_relayed < config::kHeartbeatInterval / 2) return;
   peer.last_relayed = now.mono;
-  send_missing_entries(state, beat.address, beat.cache_revision, effects);
+  send_missing_entries(state, heartbeat.address, heartbeat.cache_revision,
+                       effects);
 }
 
-bool is_current_member(const core::State& state, const Heartbeat& beat) {
-  const ZoneRoster* zone_roster = roster(state.cache, beat.zone);
+bool is_current_member(const core::State& state, const Heartbeat& heartbeat) {
+  const ZoneRoster* zone_roster = roster(state.cache, heartbeat.zone);
   if (zone_roster == nullptr) return false;
-  const RosterMember* member = find_member(zone_roster->members, beat.daemon);
-  return member != nullptr && member->incarnation == beat.incarnation;
+  const RosterMember* member =
+      find_member(zone_roster->members, heartbeat.daemon);
+  return member != nullptr && member->incarnation == heartbeat.incarnation;
 }
 
-void on_heartbeat(core::State& state, const Heartbeat& beat, Now now,
+void on_heartbeat(core::State& state, const Heartbeat& heartbeat, Now now,
                   Effects& effects) {
-  Peer* peer = record_received(state, beat.daemon, beat.incarnation, now);
+  Peer* peer =
+      record_received(state, heartbeat.daemon, heartbeat.incarnation, now);
   if (peer == nullptr) return;
-  bool outdated = peer->heartbeat && beat.round < peer->heartbeat->round;
+  bool outdated = peer->heartbeat && heartbeat.round < peer->heartbeat->round;
   if (outdated) return;
-  if (!is_current_member(state, beat) || beat.stopping)
+  if (!is_current_member(state, heartbeat) || heartbeat.stopping)
     state.membership.roster_due = true;
-  peer->heartbeat = beat;
+  peer->heartbeat = heartbeat;
   peer->heartbeat->fronts.clear();
   peer->heartbeat->accounts.clear();
   peer->heartbeat_received = now.mono;
   if (coordinated_zones(state, now).empty()) return;
-  accept_reports(state, beat, now);
-  relay_missing_entries(state, beat, *peer, now, effects);
-  if (!coordinates(state, beat.zone, now) || !is_current_member(state, beat))
+  accept_reports(state, heartbeat, now);
+  relay_missing_entries(state, heartbeat, *peer, now, effects);
+  if (!coordinates(state, heartbeat.zone, now) ||
+      !is_current_member(state, heartbeat))
     return;
   HeartbeatAnswer answer{
-      .zone = beat.zone,
+      .zone = heartbeat.zone,
       .coordinator = state.self.name,
-      .coordinator_epoch = coordinator_epoch(state, beat.zone),
-      .round = beat.round,
+      .coordinator_epoch = coordinator_epoch(state, heartbeat.zone),
+      .round = heartbeat.round,
       .revision = state.membership.revision};
-  send_peer(state, beat.address, answer, effects);
+  send_peer(state, heartbeat.address, answer, effects);
 }
 
 void on_heartbeat_answer(core::State& state, const HeartbeatAnswer& answer,
@@ -266,8 +271,8 @@
 void step_liveness(core::State& state, const Event& event, Now now,
                    Effects& effects) {
   if (const auto* received = std::get_if<PeerReceived>(&event)) {
-    if (const auto* beat = std::get_if<Heartbeat>(&received->message))
-      on_heartbeat(state, *beat, now, effects);
+    if (const auto* heartbeat = std::get_if<Heartbeat>(&received->message))
+      on_heartbeat(state, *heartbeat, now, effects);
     if (const auto* answer = std::get_if<HeartbeatAnswer>(&received->message))
       on_heartbeat_answer(state, *answer, now, effects);
     if (const auto* hello = std::get_if<PeerHello>(&received->message))
--- a/src/core/membership/reports.cc
+++ b/src/core/membership/reports.cc
@@ -32,21 +32,22 @@
     state.membership.stopped_fronts[report.server].insert(report.front_epoch);
 }
 
-void accept_accounts(core::State& state, const Heartbeat& beat, Now now) {
-  ReceivedAccounts& latest = state.membership.accounts[beat.daemon];
-  if (latest.incarnation != beat.incarnation) latest = ReceivedAccounts{};
+void accept_accounts(core::State& state, const Heartbeat& heartbeat, Now now) {
+  ReceivedAccounts& latest = state.membership.accounts[heartbeat.daemon];
+  if (latest.incarnation != heartbeat.incarnation) latest = ReceivedAccounts{};
   latest.received = now.mono;
-  latest.incarnation = beat.incarnation;
-  latest.cache_revision = beat.cache_revision;
-  if (!beat.accounts.empty()) latest.accounts = beat.accounts;
+  latest.incarnation = heartbeat.incarnation;
+  latest.cache_revision = heartbeat.cache_revision;
+  if (!heartbeat.accounts.empty()) latest.accounts = heartbeat.accounts;
 }
 
 }  // namespace
 
-void accept_reports(core::State& state, const Heartbeat& beat, Now now) {
-  for (const FrontReport& report : beat.fronts)
-    accept_report(state, beat.daemon, report, now);
-  if (coordinates(state, beat.zone, now)) accept_accounts(state, beat, now);
+void accept_reports(core::State& state, const Heartbeat& heartbeat, Now now) {
+  for (const FrontReport& report : heartbeat.fronts)
+    accept_report(state, heartbeat.daemon, report, now);
+  if (coordinates(state, heartbeat.zone, now))
+    accept_accounts(state, heartbeat, now);
 }
 
 void drop_obsolete_reports(core::State& state, const ZoneRoster& before,
--- a/src/core/membership/reports.h
+++ b/src/core/membership/reports.h
@@ -9,7 +9,7 @@
 
 /// Keeps those reports and accounts of a heartbeat that concern a zone
 /// coordinated by this daemon.
-void accept_reports(core::State& state, const Heartbeat& beat, Now now);
+void accept_reports(core::State& state, const Heartbeat& heartbeat, Now now);
 
 /// Drops reports of replaced fronts and accounts of removed members after a
 /// change of the roster.
--- a/src/core/membership/roster.cc
+++ b/src/core/membership/roster.cc
@@ -27,9 +27,9 @@
                                         const DaemonName& daemon, Now now) {
   const Peer* peer = find_peer(state, daemon);
   if (peer == nullptr || !sends_heartbeats(*peer, now)) return std::nullopt;
-  const Heartbeat& beat = *peer->heartbeat;
-  if (beat.zone != zone) return std::nullopt;
-  return RosterMember{daemon, beat.address, beat.incarnation};
+  const Heartbeat& heartbeat = *peer->heartbeat;
+  if (heartbeat.zone != zone) return std::nullopt;
+  return RosterMember{daemon, heartbeat.address, heartbeat.incarnation};
 }
 
 bool is_of_other_zone(const core::State& state, const ZoneName& zone,
--- a/src/core/membership/roster_events.cc
+++ b/src/core/membership/roster_events.cc
@@ -32,11 +32,11 @@
                           const ZoneRoster& after, Now now, Effects& effects) {
   for (const auto& [server, front] : after.fronts) {
     auto previous = before.fronts.find(server);
-    bool same =
+    bool unchanged =
         previous != before.fronts.end() &&
         previous->second.epoch == front.epoch &&
         previous->second.awaiting_predecessor == front.awaiting_predecessor;
-    if (same || front.daemon.empty()) continue;
+    if (unchanged || front.daemon.empty()) continue;
     record(state,
            {.zone = after.zone,
             .kind = TimelineKind::kFrontAssigned,
--- a/src/core/operator/accounts.cc
+++ b/src/core/operator/accounts.cc
@@ -73,9 +73,9 @@
 
 bool is_member(const core::State& state, const ZoneName& zone,
                const DaemonName& daemon) {
-  const ZoneRoster* members = roster(state.cache, zone);
-  return members != nullptr &&
-         std::any_of(members->members.begin(), members->members.end(),
+  const ZoneRoster* zone_roster = roster(state.cache, zone);
+  return zone_roster != nullptr &&
+         std::any_of(zone_roster->members.begin(), zone_roster->members.end(),
                      [&](const RosterMember& member) {
                        return member.daemon == daemon;
                      });
@@ -102,10 +102,10 @@
   for (auto& [key, set] : state.operators.account_sets)
     on_settled(state, key, set);
   if (!std::holds_alternative<Tick>(event)) return;
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return;
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return;
   for (const ZoneName& zone : membership::coordinated_zones(state, now)) {
-    for (const auto& [service, unused] : all->services) {
+    for (const auto& [service, unused] : all_declared->services) {
       AccountSetKey key{service, zone};
       AccountSet& set = state.operators.account_sets[key];
       load(state, key, set, effects);
--- a/src/core/operator/closures.cc
+++ b/src/core/operator/closures.cc
@@ -129,10 +129,10 @@
 
 void advance(core::State& state, Closure& closure, Now now) {
   ClosureStep goal = next(closure.step);
-  const Declarations* declared = declarations(state.cache);
+  const Declarations* all_declared = declarations(state.cache);
   bool overdue = now.wall >= closure.deadline + config::kClosureZoneTimeout;
   std::vector<ZoneName> skipped;
-  for (const auto& [zone, unused] : declared->zones) {
+  for (const auto& [zone, unused] : all_declared->zones) {
     if (step_of_zone(closure, zone) >= goal) continue;
     if (!overdue || !coordinator_timed_out(state, zone, now)) return;
     skipped.push_back(zone);
@@ -211,8 +211,8 @@
 }
 
 void observe_leases(core::State& state, Now now) {
-  const Declarations* declared = declarations(state.cache);
-  for (const auto& [zone, unused] : declared->zones) {
+  const Declarations* all_declared = declarations(state.cache);
+  for (const auto& [zone, unused] : all_declared->zones) {
     Version version = version_of(state.cache, coordinator_lease_key(zone));
     LeaseObservation& observation = state.operators.leases[zone];
     if (observation.version == version &&
--- a/src/core/operator/commands.cc
+++ b/src/core/operator/commands.cc
@@ -52,8 +52,9 @@
 
 std::optional<std::string> check_zone(const core::State& state,
                                       const ZoneName& zone) {
-  const Declarations* all = declarations(state.cache);
-  if (all != nullptr && all->zones.contains(zone)) return std::nullopt;
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared != nullptr && all_declared->zones.contains(zone))
+    return std::nullopt;
   return "no zone " + zone.str() + " is declared";
 }
 
@@ -80,13 +81,13 @@
   bool found = false;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
-        const auto* members = std::get_if<ZoneRoster>(&entry.record);
-        if (members == nullptr) return;
-        found = found ||
-                std::any_of(members->members.begin(), members->members.end(),
-                            [&](const RosterMember& member) {
-                              return member.daemon == daemon;
-                            });
+        const auto* zone_roster = std::get_if<ZoneRoster>(&entry.record);
+        if (zone_roster == nullptr) return;
+        found = found || std::any_of(zone_roster->members.begin(),
+                                     zone_roster->members.end(),
+                                     [&](const RosterMember& member) {
+                                       return member.daemon == daemon;
+                                     });
       });
   if (found) return std::nullopt;
   return "no daemon " + daemon.str() + " is on a roster";
@@ -392,12 +393,13 @@
     auto [it, is_first] = first.emplace(target, &command);
     if (!target.empty() && !is_first) {
       if (!is_coordinator(state, now)) continue;
-      const CommandRecord& winner = it->second->record;
-      finish(state, command,
-             {CommandState::kLostToConflict,
-              "command " + winner.id.str() + " of " + winner.ordered_by.str() +
-                  " came first and is not finished: " + winner.text},
-             now, effects);
+      const CommandRecord& earlier = it->second->record;
+      finish(
+          state, command,
+          {CommandState::kLostToConflict,
+           "command " + earlier.id.str() + " of " + earlier.ordered_by.str() +
+               " came first and is not finished: " + earlier.text},
+          now, effects);
       continue;
     }
     if (Completion completion = execute(state, command.record, now, effects))
--- a/src/core/operator/fan_out.cc
+++ b/src/core/operator/fan_out.cc
@@ -13,9 +13,9 @@
   std::map<DaemonName, Endpoint> others;
   for_each_prefixed(
       state.cache, StoreKey("live/zone/"), [&](const StoreEntry& entry) {
-        const auto* members = std::get_if<ZoneRoster>(&entry.record);
-        if (members == nullptr) return;
-        for (const RosterMember& member : members->members) {
+        const auto* zone_roster = std::get_if<ZoneRoster>(&entry.record);
+        if (zone_roster == nullptr) return;
+        for (const RosterMember& member : zone_roster->members) {
           if (member.daemon != state.self.name)
             others[member.daemon] = member.address;
         }
--- a/src/core/operator/queries.cc
+++ b/src/core/operator/queries.cc
@@ -46,10 +46,11 @@
 
 Table services(const core::State& state) {
   Table table{{"service", "key_slots", "servers", "operations", "closure"}, {}};
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return table;
-  for (const auto& [name, service] : all->services) {
-    auto servers = std::count_if(all->servers.begin(), all->servers.end(),
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return table;
+  for (const auto& [name, service] : all_declared->services) {
+    auto servers = std::count_if(all_declared->servers.begin(),
+                                 all_declared->servers.end(),
                                  [&service = name](const auto& entry) {
                                    return entry.second.service == service;
                                  });
@@ -113,16 +114,18 @@
   Table table{{"server", "service", "zone", "status", "units", "front",
                "front_epoch", "address"},
               {}};
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return table;
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return table;
   std::map<ServerName, std::uint64_t> units = units_by_server(state);
-  for (const auto& [name, server] : all->servers) {
+  for (const auto& [name, server] : all_declared->servers) {
     ServerStatus status = ServerStatus::kActive;
     FrontAssignment front;
-    if (const ZoneRoster* members = roster(state.cache, server.zone)) {
-      if (auto it = members->statuses.find(name); it != members->statuses.end())
+    if (const ZoneRoster* zone_roster = roster(state.cache, server.zone)) {
+      if (auto it = zone_roster->statuses.find(name);
+          it != zone_roster->statuses.end())
         status = it->second;
-      if (auto it = members->fronts.find(name); it != members->fronts.end())
+      if (auto it = zone_roster->fronts.find(name);
+          it != zone_roster->fronts.end())
         front = it->second;
     }
     table.rows.push_back({name.str(), server.service.str(), server.zone.str(),
@@ -136,17 +139,17 @@
 Table zones(const core::State& state) {
   Table table{{"zone", "region", "coordinator", "epoch", "members", "fenced"},
               {}};
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return table;
-  for (const auto& [name, zone] : all->zones) {
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return table;
+  for (const auto& [name, zone] : all_declared->zones) {
     const CoordinatorLease* lease = coordinator_lease(state.cache, name);
-    const ZoneRoster* members = roster(state.cache, name);
+    const ZoneRoster* zone_roster = roster(state.cache, name);
     table.rows.push_back(
         {name.str(), zone.region.str(),
          lease == nullptr ? "" : lease->holder.str(),
          lease == nullptr ? "" : text(lease->epoch.value),
-         text(members == nullptr ? 0 : members->members.size()),
-         members != nullptr && members->fenced ? "yes" : "no"});
+         text(zone_roster == nullptr ? 0 : zone_roster->members.size()),
+         zone_roster != nullptr && zone_roster->fenced ? "yes" : "no"});
   }
   return table;
 }
@@ -154,14 +157,14 @@
 Table daemons(const core::State& state) {
   Table table{{"daemon", "zone", "address", "incarnation", "fronts"}, {}};
   for_each_record<ZoneRoster>(
-      state, "live/zone/", [&](const ZoneRoster& members) {
-        for (const RosterMember& member : members.members) {
+      state, "live/zone/", [&](const ZoneRoster& zone_roster) {
+        for (const RosterMember& member : zone_roster.members) {
           auto fronts =
-              std::count_if(members.fronts.begin(), members.fronts.end(),
-                            [&](const auto& entry) {
+              std::count_if(zone_roster.fronts.begin(),
+                            zone_roster.fronts.end(), [&](const auto& entry) {
                               return entry.second.daemon == member.daemon;
                             });
-          table.rows.push_back({member.daemon.str(), members.zone.str(),
+          table.rows.push_back({member.daemon.str(), zone_roster.zone.str(),
                                 member.address.str(),
                                 text(member.incarnation.value),
                                 text(static_cast<std::uint64_t>(fronts))});
@@ -471,8 +474,8 @@
   answer.version = version_of(state.cache, closure_key(show.service));
   answer.message = std::string(to_string(closure->step));
   Table table{{"zone", "step", "units_owned"}, {}};
-  const Declarations* all = declarations(state.cache);
-  for (const auto& [zone, unused] : all->zones) {
+  const Declarations* all_declared = declarations(state.cache);
+  for (const auto& [zone, unused] : all_declared->zones) {
     auto it = closure->zones.find(zone);
     ClosureStep step =
         it == closure->zones.end() ? ClosureStep::kAnnounced : it->second;
--- a/src/core/ownership/move_orders.cc
+++ b/src/core/ownership/move_orders.cc
@@ -95,11 +95,11 @@
                                   const MoveCommand& move,
                                   const ServiceZone& service_zone) {
   if (!move.zone.empty()) {
-    const Declarations& all = *declarations(state.cache);
-    if (!all.zones.contains(move.zone))
+    const Declarations& all_declared = *declarations(state.cache);
+    if (!all_declared.zones.contains(move.zone))
       return Error{ErrorCode::kNotFound,
                    "no zone '" + move.zone.str() + "' is declared"};
-    if (servers_of(all, move.service, move.zone).empty())
+    if (servers_of(all_declared, move.service, move.zone).empty())
       return Error{ErrorCode::kInvalid, "zone " + move.zone.str() +
                                             " has no servers of " +
                                             move.service.str()};
@@ -184,9 +184,9 @@
       .target = move.server, .target_zone = move.zone, .cause = "operator"};
   auto& orders = state.ownership.service_zones[service_zone].orders;
   auto [it, inserted] = orders.emplace(unit, order);
-  bool same = it->second.target == order.target &&
-              it->second.target_zone == order.target_zone;
-  if (!inserted && !same)
+  bool same_order = it->second.target == order.target &&
+                    it->second.target_zone == order.target_zone;
+  if (!inserted && !same_order)
     return Error{ErrorCode::kConflict, "another move of it waits already"};
   return std::string("waiting");
 }
--- a/src/core/ownership/servers.cc
+++ b/src/core/ownership/servers.cc
@@ -72,11 +72,11 @@
 ServerViews view_servers(const core::State& state,
                          const ServiceZone& service_zone) {
   ServerViews views;
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return views;
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return views;
   const ZoneRoster* zone_roster = roster(state.cache, service_zone.zone);
   for (const ServerDeclaration* declared :
-       servers_of(*all, service_zone.service, service_zone.zone))
+       servers_of(*all_declared, service_zone.service, service_zone.zone))
     views[declared->name] = view_server(state, zone_roster, *declared);
   return views;
 }
--- a/src/core/ownership/servers.h
+++ b/src/core/ownership/servers.h
@@ -38,8 +38,8 @@
 bool is_unresponsive(const ServerView& view);
 /// Whether the server's slots are to be moved away while it still serves.
 bool is_leaving(const ServerView& view);
-/// Whether the platform has ended the server for good, which is known without
-/// its front. Only for servers that do not check grants.
+/// Whether a server that does not check grants is marked as lost because its VM
+/// is listed as gone. It has then stopped, whatever its front reports.
 bool is_gone(const ServerView& view);
 
 /// The usable servers, with the number of units that they own or are about to
--- a/src/core/ownership/zone_maps.cc
+++ b/src/core/ownership/zone_maps.cc
@@ -10,21 +10,22 @@
 namespace eelgrasspin::core::ownership {
 namespace {
 
-std::map<ZoneName, double> zone_capacities(const Declarations& all,
+std::map<ZoneName, double> zone_capacities(const Declarations& all_declared,
                                            const ServiceName& service) {
   std::map<ZoneName, double> capacities;
-  for (const auto& [name, server] : all.servers) {
+  for (const auto& [name, server] : all_declared.servers) {
     if (server.service == service)
       capacities[server.zone] += server.concurrency;
   }
   return capacities;
 }
 
-ZoneMap initial_zone_map(const Declarations& all,
+ZoneMap initial_zone_map(const Declarations& all_declared,
                          const ServiceDeclaration& service) {
   ZoneMap map{.service = service.name};
   std::vector<double> weights;
-  for (const auto& [zone, capacity] : zone_capacities(all, service.name)) {
+  for (const auto& [zone, capacity] :
+       zone_capacities(all_declared, service.name)) {
     map.zones.push_back(zone);
     weights.push_back(capacity);
   }
@@ -38,8 +39,9 @@
 
 void create_zone_map(core::State& state, const ServiceName& service, Now now,
                      Effects& effects) {
-  const Declarations& all = *declarations(state.cache);
-  ZoneMap map = initial_zone_map(all, all.services.at(service));
+  const Declarations& all_declared = *declarations(state.cache);
+  ZoneMap map =
+      initial_zone_map(all_declared, all_declared.services.at(service));
   if (map.slots.empty()) return;
   map.write_id = new_write_id(state);
   start_write(state, zone_map_key(service), Version(0), std::move(map), now,
--- a/src/core/reducer.cc
+++ b/src/core/reducer.cc
@@ -12,9 +12,10 @@
 
 void detect_pause(State& state, const Event& event, Now now, Effects& effects) {
   bool is_start = std::holds_alternative<Started>(event);
-  Duration gap = is_start ? Duration(0) : now.mono - state.last_event;
-  state.resumed_from_pause = gap > config::kPauseThreshold;
-  state.pause = state.resumed_from_pause ? gap : Duration(0);
+  Duration since_last_event =
+      is_start ? Duration(0) : now.mono - state.last_event;
+  state.resumed_from_pause = since_last_event > config::kPauseThreshold;
+  state.pause = state.resumed_from_pause ? since_last_event : Duration(0);
   state.last_event = now.mono;
   if (!state.resumed_from_pause) return;
   ++state.counters[Counter::kPauses];
--- a/src/core/request/intents.cc
+++ b/src/core/request/intents.cc
@@ -144,7 +144,7 @@
               now, effects);
 }
 
-/// Continues withdrawn requests once the ledger has noted that they did not
+/// Continues withdrawn requests once the ledger has recorded that they did not
 /// run.
 void finish_withdrawals(core::State& state, const LedgerCall& call, Now now,
                         Effects& effects) {
--- a/src/core/request/intents.h
+++ b/src/core/request/intents.h
@@ -20,7 +20,7 @@
 bool enqueue_intent(core::State& state, OpenRequest& request);
 
 /// Withdraws the intent of a request that leaves its queue unsent. True if the
-/// request must wait until the ledger has noted that it did not run.
+/// request must wait until the ledger has recorded that it did not run.
 bool withdraw_intent(core::State& state, OpenRequest& request);
 
 /// Adds the outcome of a request's intent, if it has one, to the next outcome
--- a/src/core/request/ledger.cc
+++ b/src/core/request/ledger.cc
@@ -43,8 +43,8 @@
   ledger.batches.erase(it);
 }
 
-/// Decides the waiting intents that are repeats; appends the others to the open
-/// segment.
+/// Sets the verdicts of waiting intents that are repeats; appends the others to
+/// the open segment.
 void process_waiting(core::State& state, ZoneLedger& ledger,
                      IntentSegment& segment, Effects& effects) {
   std::vector<WaitingIntent> later;
--- a/src/core/request/ledger_load.cc
+++ b/src/core/request/ledger_load.cc
@@ -192,9 +192,9 @@
 
 std::vector<Version> zone_map_versions(const core::State& state) {
   std::vector<Version> versions;
-  const Declarations* all = declarations(state.cache);
-  if (all == nullptr) return versions;
-  for (const auto& [service, declaration] : all->services)
+  const Declarations* all_declared = declarations(state.cache);
+  if (all_declared == nullptr) return versions;
+  for (const auto& [service, declaration] : all_declared->services)
     versions.push_back(version_of(state.cache, zone_map_key(service)));
   return versions;
 }
--- a/src/core/request/load.cc
+++ b/src/core/request/load.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration kDecayInterval = seconds(1);
-/// A count is multiplied by it at each interval; at a constant rate per
-/// interval the count converges to rate / (1 - kDecayFactor).
+/// Each count is multiplied by this at each kDecayInterval; at a constant rate
+/// per interval it converges to rate / (1 - kDecayFactor).
 constexpr double kDecayFactor = 0.9;
 constexpr double kMinCount = 0.01;
 constexpr std::size_t kMaxReportedSlots = 16;
--- a/src/core/request/routing.cc
+++ b/src/core/request/routing.cc
@@ -6,19 +6,19 @@
 namespace {
 
 std::vector<Version> service_sources(const Cache& cache,
-                                     const Declarations& all,
+                                     const Declarations& all_declared,
                                      const ServiceName& service) {
   std::vector<Version> versions{version_of(cache, declarations_key()),
                                 version_of(cache, zone_map_key(service))};
-  for (const auto& [zone, declaration] : all.zones)
+  for (const auto& [zone, declaration] : all_declared.zones)
     versions.push_back(version_of(cache, ownership_map_key(service, zone)));
   return versions;
 }
 
 std::vector<Version> roster_versions(const Cache& cache,
-                                     const Declarations& all) {
+                                     const Declarations& all_declared) {
   std::vector<Version> versions;
-  for (const auto& [zone, declaration] : all.zones)
+  for (const auto& [zone, declaration] : all_declared.zones)
     versions.push_back(version_of(cache, roster_key(zone)));
   return versions;
 }
@@ -68,12 +68,13 @@
 }
 
 bool refresh_services(RoutingTable& table, const Cache& cache,
-                      const Declarations& all) {
+                      const Declarations& all_declared) {
   bool changed = std::erase_if(table.services, [&](const auto& item) {
-                   return !all.services.contains(item.first);
+                   return !all_declared.services.contains(item.first);
                  }) > 0;
-  for (const auto& [name, declaration] : all.services) {
-    std::vector<Version> source_versions = service_sources(cache, all, name);
+  for (const auto& [name, declaration] : all_declared.services) {
+    std::vector<Version> source_versions =
+        service_sources(cache, all_declared, name);
     auto it = table.services.find(name);
     if (it != table.services.end() &&
         it->second.source_versions == source_versions)
@@ -87,15 +88,15 @@
 }
 
 bool refresh_fronts(RoutingTable& table, const Cache& cache,
-                    const Declarations& all) {
-  std::vector<Version> source_versions = roster_versions(cache, all);
+                    const Declarations& all_declared) {
+  std::vector<Version> source_versions = roster_versions(cache, all_declared);
   if (source_versions == table.front_source_versions) return false;
   table.front_source_versions = std::move(source_versions);
   table.fronts.clear();
-  for (const auto& [zone, declaration] : all.zones) {
-    const ZoneRoster* members = roster(cache, zone);
-    if (members == nullptr) continue;
-    for (const auto& [server, front] : members->fronts)
+  for (const auto& [zone, declaration] : all_declared.zones) {
+    const ZoneRoster* zone_roster = roster(cache, zone);
+    if (zone_roster == nullptr) continue;
+    for (const auto& [server, front] : zone_roster->fronts)
       table.fronts[server] = {front.daemon, front.address};
   }
   return true;
@@ -107,11 +108,11 @@
   if (table.built && table.cache_generation == cache.generation) return false;
   table.built = true;
   table.cache_generation = cache.generation;
-  const Declarations* all = declarations(cache);
-  table.declarations_known = all != nullptr;
-  if (all == nullptr) return false;
-  bool services_changed = refresh_services(table, cache, *all);
-  bool fronts_changed = refresh_fronts(table, cache, *all);
+  const Declarations* all_declared = declarations(cache);
+  table.declarations_known = all_declared != nullptr;
+  if (all_declared == nullptr) return false;
+  bool services_changed = refresh_services(table, cache, *all_declared);
+  bool fronts_changed = refresh_fronts(table, cache, *all_declared);
   return services_changed || fronts_changed;
 }
 
