--- a/include/eelgrasspin/records.h
+++ b/include/eelgrasspin/records.h
@@ -151,8 +151,8 @@
   IntentState state = IntentState::kIntended;
   std::uint16_t status = 0;  ///< HTTP status of the answer, if answered.
   WallTime recorded;
-  std::uint64_t intent_id =
-      0;  ///< Unique; a repeat of the request has another.
+  /// Unique; a repeat of the request has another one.
+  std::uint64_t intent_id = 0;
 
   bool operator==(const Intent&) const = default;
 };
--- a/src/core/effect.h
+++ b/src/core/effect.h
@@ -94,7 +94,7 @@
   AttemptId attempt;
 };
 
-/// Tell the sender that the request has ended without an answer from the
+/// Notify the sender that the request has ended without an answer from the
 /// backend server.
 struct RefuseRequest {
   RequestId request;
--- a/src/core/membership/state.h
+++ b/src/core/membership/state.h
@@ -39,14 +39,15 @@
   StoreOpId watch_op;
   TimePoint watch_sent;
   TimePoint next_watch;
-  std::optional<TimePoint> last_answer;  ///< When the store last answered.
-  bool recorded_down =
-      false;  ///< The store is down, as last recorded on the timeline.
+  /// When the store last answered this daemon or its coordinator.
+  std::optional<TimePoint> last_answer;
+  /// The store is down, as last recorded on the timeline.
+  bool recorded_down = false;
   TimePoint next_cache_request;
   Version newest_relayed;  ///< Highest version among the entries relayed.
   std::map<ZoneName, RelayedLease> relayed_leases;
-  Version adopted_declarations;  ///< Version of the declarations that were
-                                 ///< adopted last.
+  /// Version of the declarations adopted last.
+  Version adopted_declarations;
   /// Keys whose stored value cannot be read; the cache keeps the last readable
   /// one.
   std::set<StoreKey> damaged;
@@ -64,9 +65,9 @@
   /// whose answer confirmed this daemon's membership.
   std::optional<TimePoint> last_confirmed;
   TimePoint last_coordinator_message;  ///< From the zone's coordinator.
-  bool held = false;    ///< The stored lease names this process as holder.
-  bool active = false;  ///< This daemon is the coordinator, as last recorded on
-                        ///< the timeline.
+  bool held = false;  ///< The stored lease names this process as holder.
+  /// This daemon is the coordinator, as last recorded on the timeline.
+  bool active = false;
   bool releasing = false;
   TermEpoch epoch;
   TimePoint valid_until;
@@ -101,8 +102,8 @@
 /// What a coordinator keeps for one zone besides its roster.
 struct CoordinatedZone {
   Version roster_version;
-  ZoneRoster recorded_roster;  ///< Roster at `roster_version`, as recorded on
-                               ///< the timeline.
+  /// Roster at `roster_version`, as recorded on the timeline.
+  ZoneRoster recorded_roster;
   std::map<DaemonName, LostMember> lost_members;
 };
 
--- a/src/core/request/fingerprint.h
+++ b/src/core/request/fingerprint.h
@@ -11,8 +11,8 @@
 /// idempotency key if there is one, else the content fingerprint.
 std::uint64_t crash_fingerprint(const OpenRequest& request);
 
-/// Hash of operation, key and body: tells a repeat from a different request
-/// with the same idempotency key.
+/// Hash of operation, key and body: distinguishes a repeat from a different
+/// request with the same idempotency key.
 std::uint64_t content_fingerprint(const OpenRequest& request);
 
 }  // namespace eelgrasspin::core::request
--- a/src/core/request/lifecycle.h
+++ b/src/core/request/lifecycle.h
@@ -29,7 +29,7 @@
 void end_answered(core::State& state, OpenRequest& request,
                   const AttemptAnswered& answer, Now now, Effects& effects);
 
-/// Tells the sender that the request ended without an answer. If an earlier
+/// Notifies the sender that the request ended without an answer. If an earlier
 /// attempt had an unknown outcome, the request ends as unknown, never as not
 /// run.
 void end_refused(core::State& state, OpenRequest& request, Refusal refusal,
