--- a/src/core/ownership/servers.h
+++ b/src/core/ownership/servers.h
@@ -39,7 +39,8 @@
 /// Whether the server's slots are to be moved away while it still serves.
 bool is_leaving(const ServerView& view);
 /// Whether a server that does not check grants is marked as lost because its VM
-/// is listed as gone. It has then stopped, whatever its front reports.
+/// is listed as gone. It has then ended for good, which is known without a
+/// report of its front.
 bool is_gone(const ServerView& view);
 
 /// The usable servers, with the number of units that they own or are about to
