--- a/src/core/effect.h
+++ b/src/core/effect.h
@@ -94,7 +94,7 @@
   AttemptId attempt;
 };
 
-/// Tell the sender that the request has ended without an answer from the
+/// Notify the sender that the request has ended without an answer from the
 /// backend server.
 struct RefuseRequest {
   RequestId request;
@@ -111,7 +111,7 @@
   CommandAnswer answer;
 };
 
-/// Write an event to the log; the time line has it already.
+/// Write an event to the log; it is on the timeline already.
 struct LogEvent {
   TimelineEvent event;
 };
