--- a/src/ctl/client.h
+++ b/src/ctl/client.h
@@ -13,7 +13,7 @@
 
 namespace eelgrasspin::ctl {
 
-/// Why there is no answer, with the exit status that follows from it.
+/// Why a call has no usable answer, and the exit status for it.
 struct Failure {
   ExitCode code = kUnreachable;
   std::string message;
@@ -21,39 +21,46 @@
 
 using Answer = std::variant<CommandAnswer, Failure>;
 
-/// The declarations in force; version 0 if there are none.
-struct InForce {
+/// The declarations in force; version 0 if there are none yet.
+struct CurrentDeclarations {
   Version version;
   std::string text;
 };
 
-/// Operators' HTTP of the daemons. A call that got no answer is made again, at
-/// the next daemon; orders carry an id under which they run once.
+/// HTTP client of the daemons' operators port. A call without an answer is
+/// repeated at the next daemon; a command carries an id, so that a repeated one
+/// is carried out only once. Not thread safe.
 class Client {
  public:
   explicit Client(const Options& options);
 
-  /// A new id, the same for every attempt at one order.
+  /// A new command id; every attempt at one command carries the same id.
   CommandId new_command_id();
-  Answer command(const std::string& text, const CommandId& id, bool is_query);
-  std::variant<InForce, Failure> declarations();
-  Answer apply(const std::string& text, const std::string& file, Version base);
+  Answer send_command(const std::string& text, const CommandId& id,
+                      bool is_query);
+  std::variant<CurrentDeclarations, Failure> fetch_declarations();
+  /// Replaces the declarations if their version is still `base_version`. `file`
+  /// is the file name in findings.
+  Answer apply(const std::string& text, const std::string& file,
+               Version base_version);
 
  private:
-  /// Calls the daemons in turn until one answers.
+  /// Calls the daemons in turn until one answers. A call that `changes_state`
+  /// fails with kUnknownOutcome if any attempt may have been sent.
   std::variant<io::HttpResponse, Failure> call(io::HttpRequest request,
-                                               bool changes);
-  Answer take_answer(const std::variant<io::HttpResponse, Failure>& got) const;
+                                               bool changes_state);
+  Answer decode_response(
+      const std::variant<io::HttpResponse, Failure>& result) const;
 
   std::vector<Endpoint> daemons_;
   std::string token_;
-  OperatorName operator_;
-  std::uint64_t run_ = 0;
-  std::uint64_t commands_ = 0;
+  OperatorName operator_name_;
+  std::uint64_t run_id_ = 0;
+  std::uint64_t command_count_ = 0;
 };
 
-/// Exit status for an answer of the daemon.
-ExitCode exit_code_of(const CommandAnswer& answer, bool is_query);
+/// Exit status for an answer of a daemon.
+ExitCode exit_code_for(const CommandAnswer& answer, bool is_query);
 
 }  // namespace eelgrasspin::ctl
 
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -14,9 +14,9 @@
 namespace eelgrasspin::ctl {
 namespace {
 
-constexpr std::string_view kSpaces = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 
-int report_failure(const Options& options, const Failure& failure) {
+int print_failure(const Options& options, const Failure& failure) {
   if (options.json) {
     CommandAnswer answer;
     answer.error = Error{ErrorCode::kUnavailable, failure.message};
@@ -26,32 +26,32 @@
   return failure.code;
 }
 
-int write_page(const Options& options, const CommandAnswer& answer) {
-  if (write_file(options.html, report_page(answer))) {
-    std::cout << "written: " << options.html << "\n";
+int write_report_page(const Options& options, const CommandAnswer& answer) {
+  if (write_file(options.html_file, report_page(answer))) {
+    std::cout << "report written to " << options.html_file << "\n";
     return kDone;
   }
-  std::cerr << "eelctl: cannot write " << options.html << "\n";
+  std::cerr << "eelctl: cannot write " << options.html_file << "\n";
   return kBadInput;
 }
 
-bool can_be_waited_for(const Command& command) {
-  return !lang::is_query(command);
-}
+bool can_wait_for(const Command& command) { return !lang::is_query(command); }
 
-/// Names for what a completion such as "<server>" stands for, from a daemon.
-std::vector<std::string> names_for(Client& client, const std::string& what) {
+/// Names that can replace a placeholder such as "<server>", from a daemon.
+/// Empty if no daemon answers.
+std::vector<std::string> fetch_names(Client& client,
+                                     const std::string& placeholder) {
   std::string query;
-  if (what == "<service>") query = "show services";
-  if (what == "<server>") query = "show servers";
-  if (what == "<zone>") query = "show zones";
-  if (what == "<daemon>") query = "show daemons";
+  if (placeholder == "<service>") query = "show services";
+  if (placeholder == "<server>") query = "show servers";
+  if (placeholder == "<zone>") query = "show zones";
+  if (placeholder == "<daemon>") query = "show daemons";
   if (query.empty()) return {};
-  Answer answer = client.command(query, client.new_command_id(), true);
-  auto* found = std::get_if<CommandAnswer>(&answer);
+  Answer answer = client.send_command(query, client.new_command_id(), true);
+  auto* listing = std::get_if<CommandAnswer>(&answer);
   std::vector<std::string> names;
-  if (found == nullptr || found->sections.empty()) return names;
-  for (const auto& row : found->sections.front().table.rows) {
+  if (listing == nullptr || listing->sections.empty()) return names;
+  for (const auto& row : listing->sections.front().table.rows) {
     if (!row.empty()) names.push_back(row.front());
   }
   return names;
@@ -64,7 +64,7 @@
       words.push_back(word);
       continue;
     }
-    for (std::string& name : names_for(client, word)) {
+    for (std::string& name : fetch_names(client, word)) {
       words.push_back(std::move(name));
     }
   }
@@ -77,26 +77,26 @@
                 const std::string& text) {
   auto parsed = lang::parse(text);
   if (auto* findings = std::get_if<std::vector<Finding>>(&parsed)) {
-    std::cerr << point_at(text, *findings);
+    std::cerr << findings_text(text, *findings);
     return kBadInput;
   }
   const Command command = std::get<Command>(std::move(parsed));
   bool is_query = lang::is_query(command);
   CommandId id = client.new_command_id();
-  Answer got = client.command(text, id, is_query);
-  if (auto* failure = std::get_if<Failure>(&got)) {
-    return report_failure(options, *failure);
+  Answer result = client.send_command(text, id, is_query);
+  if (auto* failure = std::get_if<Failure>(&result)) {
+    return print_failure(options, *failure);
   }
-  const auto& answer = std::get<CommandAnswer>(got);
-  ExitCode code = exit_code_of(answer, is_query);
-  if (code == kDone && !options.html.empty() &&
+  const auto& answer = std::get<CommandAnswer>(result);
+  ExitCode code = exit_code_for(answer, is_query);
+  if (code == kDone && !options.html_file.empty() &&
       std::holds_alternative<ReportCommand>(command)) {
-    return write_page(options, answer);
+    return write_report_page(options, answer);
   }
   std::cout << (options.json ? codec::encode_answer(answer) + "\n"
                              : to_text(answer));
   std::cout << std::flush;
-  if (code != kDone || !options.wait || !can_be_waited_for(command)) {
+  if (code != kDone || !options.wait || !can_wait_for(command)) {
     return code;
   }
   return wait_until_finished(client, command, id, options.wait_limit);
@@ -128,7 +128,7 @@
   };
   int status = kDone;
   while (auto line = read_line("eelctl> ", completer)) {
-    if (line->find_first_not_of(kSpaces) == std::string::npos) continue;
+    if (line->find_first_not_of(kWhitespace) == std::string::npos) continue;
     if (*line == "exit" || *line == "quit") break;
     status = run_command(client, options, *line);
   }
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -8,15 +8,17 @@
 
 namespace eelgrasspin::ctl {
 
-/// Runs one command of the language and prints its answer. Returns the exit
-/// status.
+/// Runs one command of the command language and prints its answer. Returns the
+/// exit status.
 int run_command(Client& client, const Options& options,
                 const std::string& text);
 
-/// Checks a report that was saved as JSON.
+/// Checks the hashes and totals of a closing report that was saved as JSON.
+/// Returns the exit status.
 int verify_report_file(const std::string& file);
 
-/// Reads commands until the end of the input. Returns the status of the last.
+/// Reads and runs commands until the end of the input. Returns the exit status
+/// of the last one.
 int run_prompt(Client& client, const Options& options);
 
 }  // namespace eelgrasspin::ctl
--- a/src/ctl/declarations.cc
+++ b/src/ctl/declarations.cc
@@ -13,13 +13,13 @@
 namespace eelgrasspin::ctl {
 namespace {
 
-using Values = std::map<std::string, std::string>;
+using SectionValues = std::map<std::string, std::string>;
 
-/// Values of each section, from canonical text.
-std::map<std::string, Values> sections_of(const std::string& ini) {
-  std::map<std::string, Values> sections;
+/// Values by section title and name, from INI text in canonical form.
+std::map<std::string, SectionValues> parse_sections(const std::string& ini) {
+  std::map<std::string, SectionValues> sections;
   for (const config::IniSection& section : config::read_ini(ini, "").sections) {
-    Values& values = sections[section.title];
+    SectionValues& values = sections[section.title];
     for (const config::IniValue& value : section.values) {
       values[value.name] = value.value;
     }
@@ -27,13 +27,13 @@
   return sections;
 }
 
-struct Checked {
+struct CheckedFile {
   std::string source;
   Declarations declarations;
 };
 
-/// The checked file; prints every finding if there is one.
-std::optional<Checked> read_checked(const std::string& file) {
+/// Reads and checks a declarations file. Prints the findings if there are any.
+std::optional<CheckedFile> read_checked_file(const std::string& file) {
   std::optional<std::string> text = read_file(file);
   if (!text) {
     std::cerr << "eelctl: cannot read " << file << "\n";
@@ -46,49 +46,53 @@
     }
     return std::nullopt;
   }
-  return Checked{*text, std::get<Declarations>(std::move(checked))};
+  return CheckedFile{*text, std::get<Declarations>(std::move(checked))};
 }
 
 /// The declarations in force, empty if there are none or this version cannot
 /// read them.
-Declarations parsed(const InForce& in_force) {
-  auto read = config::read_declarations(in_force.text, "declarations");
+Declarations parse_current(const CurrentDeclarations& current) {
+  auto read = config::read_declarations(current.text, "declarations");
   auto* declarations = std::get_if<Declarations>(&read);
   return declarations == nullptr ? Declarations{} : std::move(*declarations);
 }
 
-std::vector<std::string> changes(const InForce& in_force,
-                                 const Declarations& wanted) {
-  std::string before = in_force.version.value == 0
+std::vector<std::string> list_changes(const CurrentDeclarations& current,
+                                      const Declarations& proposed) {
+  std::string before = current.version.value == 0
                            ? ""
-                           : config::print_declarations(parsed(in_force));
-  return differences(before, config::print_declarations(wanted));
+                           : config::print_declarations(parse_current(current));
+  return differences(before, config::print_declarations(proposed));
 }
 
-bool report_forbidden(const InForce& in_force, const Declarations& wanted,
-                      const std::string& file) {
-  if (in_force.version.value == 0) return false;
-  auto findings = config::check_change(parsed(in_force), wanted, file);
+/// Prints changes that are not allowed. Returns whether there are any.
+bool print_forbidden_changes(const CurrentDeclarations& current,
+                             const Declarations& proposed,
+                             const std::string& file) {
+  if (current.version.value == 0) return false;
+  auto findings = config::check_change(parse_current(current), proposed, file);
   for (const Finding& finding : findings) {
     std::cerr << to_string(finding) << "\n";
   }
   return !findings.empty();
 }
 
-int report(const Failure& failure) {
+int print_failure(const Failure& failure) {
   std::cerr << "eelctl: " << failure.message << "\n";
   return failure.code;
 }
 
-/// Whether a change whose answer was lost is in force, by reading again.
-Answer settle(Client& client, const Checked& wanted, const Failure& lost) {
-  auto now = client.declarations();
-  const auto* in_force = std::get_if<InForce>(&now);
-  if (in_force == nullptr || in_force->text != wanted.source) return lost;
+/// For a change whose answer was lost: reads the declarations again, and returns
+/// success if their text is that of the file.
+Answer resolve_lost_answer(Client& client, const CheckedFile& proposed,
+                           const Failure& lost) {
+  auto refetched = client.fetch_declarations();
+  const auto* current = std::get_if<CurrentDeclarations>(&refetched);
+  if (current == nullptr || current->text != proposed.source) return lost;
   CommandAnswer answer;
-  answer.version = in_force->version;
+  answer.version = current->version;
   answer.message =
-      "accepted as version " + std::to_string(in_force->version.value);
+      "accepted as version " + std::to_string(current->version.value);
   return answer;
 }
 
@@ -96,24 +100,24 @@
 
 std::vector<std::string> differences(const std::string& before_ini,
                                      const std::string& after_ini) {
-  auto before = sections_of(before_ini);
-  auto after = sections_of(after_ini);
+  auto before = parse_sections(before_ini);
+  auto after = parse_sections(after_ini);
   std::vector<std::string> out;
   for (const auto& [title, values] : before) {
     if (!after.contains(title)) out.push_back("- [" + title + "]");
   }
   for (const auto& [title, values] : after) {
-    auto old = before.find(title);
-    if (old == before.end()) {
+    auto old_section = before.find(title);
+    if (old_section == before.end()) {
       out.push_back("+ [" + title + "]");
       continue;
     }
     for (const auto& [name, value] : values) {
-      const std::string& was = old->second[name];
-      if (was == value) continue;
+      const std::string& old_value = old_section->second[name];
+      if (old_value == value) continue;
       std::string line = "~ [";
       line.append(title).append("] ").append(name).append(": ");
-      line.append(was).append(" -> ").append(value);
+      line.append(old_value).append(" -> ").append(value);
       out.push_back(std::move(line));
     }
   }
@@ -121,42 +125,48 @@
 }
 
 int check(const std::string& file) {
-  if (!read_checked(file)) return kBadInput;
+  if (!read_checked_file(file)) return kBadInput;
   std::cout << file << ": ok\n";
   return kDone;
 }
 
 int diff(Client& client, const std::string& file) {
-  auto wanted = read_checked(file);
-  if (!wanted) return kBadInput;
-  auto got = client.declarations();
-  if (auto* failure = std::get_if<Failure>(&got)) return report(*failure);
-  const auto& in_force = std::get<InForce>(got);
-  std::cout << "version " << in_force.version << "\n";
-  for (const std::string& line : changes(in_force, wanted->declarations)) {
+  auto proposed = read_checked_file(file);
+  if (!proposed) return kBadInput;
+  auto result = client.fetch_declarations();
+  if (auto* failure = std::get_if<Failure>(&result))
+    return print_failure(*failure);
+  const auto& current = std::get<CurrentDeclarations>(result);
+  std::cout << "version " << current.version << "\n";
+  for (const std::string& line :
+       list_changes(current, proposed->declarations)) {
     std::cout << line << "\n";
   }
-  bool forbidden = report_forbidden(in_force, wanted->declarations, file);
+  bool forbidden =
+      print_forbidden_changes(current, proposed->declarations, file);
   return forbidden ? kBadInput : kDone;
 }
 
 int apply(Client& client, const Options& options, const std::string& file) {
-  auto wanted = read_checked(file);
-  if (!wanted) return kBadInput;
-  auto got = client.declarations();
-  if (auto* failure = std::get_if<Failure>(&got)) return report(*failure);
-  const auto& in_force = std::get<InForce>(got);
-  if (report_forbidden(in_force, wanted->declarations, file)) return kBadInput;
-  Version base = options.base.value_or(in_force.version);
-  Answer answer = client.apply(wanted->source, file, base);
+  auto proposed = read_checked_file(file);
+  if (!proposed) return kBadInput;
+  auto result = client.fetch_declarations();
+  if (auto* failure = std::get_if<Failure>(&result))
+    return print_failure(*failure);
+  const auto& current = std::get<CurrentDeclarations>(result);
+  if (print_forbidden_changes(current, proposed->declarations, file))
+    return kBadInput;
+  Version base_version = options.base_version.value_or(current.version);
+  Answer answer = client.apply(proposed->source, file, base_version);
   if (auto* lost = std::get_if<Failure>(&answer)) {
-    answer = settle(client, *wanted, Failure(*lost));
+    answer = resolve_lost_answer(client, *proposed, Failure(*lost));
   }
-  if (auto* failure = std::get_if<Failure>(&answer)) return report(*failure);
-  const auto& accepted = std::get<CommandAnswer>(answer);
-  std::cout << (options.json ? codec::encode_answer(accepted) + "\n"
-                             : to_text(accepted));
-  return exit_code_of(accepted, false);
+  if (auto* failure = std::get_if<Failure>(&answer))
+    return print_failure(*failure);
+  const auto& command_answer = std::get<CommandAnswer>(answer);
+  std::cout << (options.json ? codec::encode_answer(command_answer) + "\n"
+                             : to_text(command_answer));
+  return exit_code_for(command_answer, false);
 }
 
 }  // namespace eelgrasspin::ctl
--- a/src/ctl/options.h
+++ b/src/ctl/options.h
@@ -18,22 +18,23 @@
   bool json = false;
   bool wait = false;
   Duration wait_limit = minutes(10);
-  std::optional<Version> base;  ///< Of the declarations a change was made for.
-  std::string html;             ///< File for the page of a report.
-  std::vector<std::string> words;
+  std::optional<Version> base_version;  ///< That apply expects to replace.
+  std::string html_file;                ///< File for the HTML page of a report.
+  std::vector<std::string> words;       ///< Of the command.
 };
 
-/// Nothing more to do; end with this status.
-struct Finished {
+/// The program ends at once with this exit status.
+struct EarlyExit {
   int status = 0;
 };
 
-/// Reads the command line, and the environment for what it leaves out. Prints
-/// help and complaints.
-std::variant<Options, Finished> read_options(int argc, char** argv);
+/// Reads the command line, with the environment for options that it lacks.
+/// Prints help, version and usage errors.
+std::variant<Options, EarlyExit> read_options(int argc, char** argv);
 
-/// One text from the words of a command line: a lone word is taken as it is,
-/// several are quoted where the shell took quotes away.
+/// Joins the words of a command line to one command. A single word is the whole
+/// command; of several, those that need quotes are quoted again, as the shell
+/// has removed them.
 std::string command_text(const std::vector<std::string>& words);
 
 }  // namespace eelgrasspin::ctl
--- a/src/ctl/print.cc
+++ b/src/ctl/print.cc
@@ -7,7 +7,8 @@
 
 constexpr std::size_t kColumnGap = 2;
 
-/// Keys and reasons come from callers; they must not steer the terminal.
+/// Replaces control characters by dots: keys and reasons come from callers, and
+/// could hold escape sequences of the terminal.
 std::string printable(std::string text) {
   std::replace_if(
       text.begin(), text.end(),
@@ -21,8 +22,8 @@
   for (std::size_t i = 0; i < row.size() && i < widths.size(); ++i) {
     std::string cell = printable(row[i]);
     line += cell;
-    std::size_t padded = widths[i] + kColumnGap;
-    if (cell.size() < padded) line.append(padded - cell.size(), ' ');
+    std::size_t padded_size = widths[i] + kColumnGap;
+    if (cell.size() < padded_size) line.append(padded_size - cell.size(), ' ');
   }
   line.erase(line.find_last_not_of(' ') + 1);
   out += line + "\n";
@@ -55,16 +56,16 @@
     out += printable(answer.message) + "\n";
   }
   if (!answer.command.empty()) out += "command: " + answer.command.str() + "\n";
-  bool titled = answer.sections.size() > 1;
+  bool has_titles = answer.sections.size() > 1;
   for (const Section& section : answer.sections) {
-    if (titled) out += "\n" + printable(section.title) + "\n";
+    if (has_titles) out += "\n" + printable(section.title) + "\n";
     out += to_text(section.table);
   }
   return out;
 }
 
-std::string point_at(const std::string& command,
-                     const std::vector<Finding>& findings) {
+std::string findings_text(const std::string& command,
+                          const std::vector<Finding>& findings) {
   std::string out;
   for (const Finding& finding : findings) {
     out += printable(command) + "\n";
--- a/src/ctl/print.h
+++ b/src/ctl/print.h
@@ -9,15 +9,16 @@
 
 namespace eelgrasspin::ctl {
 
-/// An answer as text: message, then each section as a table.
+/// An answer as text: the error or message, then each section as a table.
 std::string to_text(const CommandAnswer& answer);
 
-/// Columns padded to the same width; control characters are shown as dots.
+/// A table with aligned columns; control characters are shown as dots.
 std::string to_text(const Table& table);
 
-/// The command with a caret under each finding's column.
-std::string point_at(const std::string& command,
-                     const std::vector<Finding>& findings);
+/// For each finding, the command and below it the finding's message, with a
+/// caret under its column.
+std::string findings_text(const std::string& command,
+                          const std::vector<Finding>& findings);
 
 }  // namespace eelgrasspin::ctl
 
--- a/src/ctl/wait.cc
+++ b/src/ctl/wait.cc
@@ -14,13 +14,14 @@
 
 constexpr Duration kPollInterval = milliseconds(250);
 
-/// What one poll found; `end` is set when there is nothing to wait for.
+/// Result of one poll; `exit_code` is set when there is nothing left to wait
+/// for.
 struct Progress {
   std::string line;
-  std::optional<ExitCode> end;
+  std::optional<ExitCode> exit_code;
 };
 
-/// Cell of the first row; empty if there is none.
+/// Cell of the first row of the first section; empty if there is none.
 std::string cell(const CommandAnswer& answer, const std::string& column) {
   if (answer.sections.empty()) return {};
   const Table& table = answer.sections.front().table;
@@ -31,16 +32,16 @@
   return index < row.size() ? row[index] : std::string();
 }
 
-class Waiter {
+class CompletionPoller {
  public:
-  Waiter(Client& client, const Command& command, const CommandId& id)
+  CompletionPoller(Client& client, const Command& command, const CommandId& id)
       : client_(client), command_(command), id_(id) {}
 
   Progress poll() {
-    if (!accepted_) {
+    if (!command_done_) {
       Progress progress = poll_command();
-      if (progress.end != kDone) return progress;
-      accepted_ = true;
+      if (progress.exit_code != kDone) return progress;
+      command_done_ = true;
     }
     if (const auto* drain = std::get_if<DrainCommand>(&command_)) {
       return poll_drain(*drain);
@@ -52,20 +53,20 @@
   }
 
  private:
-  std::optional<CommandAnswer> ask(const std::string& text) {
-    Answer answer = client_.command(text, client_.new_command_id(), true);
+  std::optional<CommandAnswer> query(const std::string& text) {
+    Answer answer = client_.send_command(text, client_.new_command_id(), true);
     if (auto* failure = std::get_if<Failure>(&answer)) {
-      problem_ = failure->message;
+      failure_message_ = failure->message;
       return std::nullopt;
     }
     return std::get<CommandAnswer>(std::move(answer));
   }
 
-  /// The command's own record: carried out, refused or still open.
+  /// State of the command's own record: done, refused or still open.
   Progress poll_command() {
     auto answer =
-        ask("show commands where id = " + lang::word_or_quoted(id_.str()));
-    if (!answer) return {problem_, std::nullopt};
+        query("show commands where id = " + lang::word_or_quoted(id_.str()));
+    if (!answer) return {failure_message_, std::nullopt};
     std::string state = cell(*answer, "state");
     std::string line = "command " + id_.str() + ": " + state;
     std::string result = cell(*answer, "result");
@@ -78,8 +79,8 @@
   }
 
   Progress poll_drain(const DrainCommand& drain) {
-    auto answer = ask("show drains where server = " + drain.server.str());
-    if (!answer) return {problem_, std::nullopt};
+    auto answer = query("show drains where server = " + drain.server.str());
+    if (!answer) return {failure_message_, std::nullopt};
     std::string state = cell(*answer, "state");
     std::string line = "server " + drain.server.str() + ": " + state + ", " +
                        cell(*answer, "units") + " slots and keys left";
@@ -89,8 +90,8 @@
   }
 
   Progress poll_closure(const CloseCommand& close) {
-    auto answer = ask("show closure " + close.service.str());
-    if (!answer) return {problem_, std::nullopt};
+    auto answer = query("show closure " + close.service.str());
+    if (!answer) return {failure_message_, std::nullopt};
     std::string step = answer->message;
     std::string line = "closure of " + close.service.str() + ": " + step;
     if (step == "sealed") return {line, kDone};
@@ -101,26 +102,26 @@
   Client& client_;
   const Command& command_;
   const CommandId& id_;
-  bool accepted_ = false;
-  std::string problem_;
+  bool command_done_ = false;
+  std::string failure_message_;
 };
 
 }  // namespace
 
 int wait_until_finished(Client& client, const Command& command,
-                        const CommandId& id, Duration limit) {
-  Waiter waiter(client, command, id);
-  auto end = std::chrono::steady_clock::now() + limit;
-  std::string shown;
+                        const CommandId& id, Duration timeout) {
+  CompletionPoller poller(client, command, id);
+  auto deadline = std::chrono::steady_clock::now() + timeout;
+  std::string last_line;
   while (true) {
-    Progress progress = waiter.poll();
-    if (progress.line != shown) std::cerr << progress.line << std::endl;
-    shown = progress.line;
-    if (progress.end) return *progress.end;
-    if (std::chrono::steady_clock::now() >= end) break;
+    Progress progress = poller.poll();
+    if (progress.line != last_line) std::cerr << progress.line << std::endl;
+    last_line = progress.line;
+    if (progress.exit_code) return *progress.exit_code;
+    if (std::chrono::steady_clock::now() >= deadline) break;
     std::this_thread::sleep_for(kPollInterval);
   }
-  std::cerr << "eelctl: not finished within " << lang::print_duration(limit)
+  std::cerr << "eelctl: not finished within " << lang::print_duration(timeout)
             << "\n";
   return kUnknownOutcome;
 }
--- a/src/ctl/wait.h
+++ b/src/ctl/wait.h
@@ -6,11 +6,11 @@
 
 namespace eelgrasspin::ctl {
 
-/// Polls until an accepted order is finished: a move done, a drained server
+/// Polls until an accepted command is finished: a move done, a drained server
 /// without slots, a closure sealed. Progress goes to the standard error.
-/// Returns the exit status.
+/// Returns the exit status: kUnknownOutcome after `timeout`.
 int wait_until_finished(Client& client, const Command& command,
-                        const CommandId& id, Duration limit);
+                        const CommandId& id, Duration timeout);
 
 }  // namespace eelgrasspin::ctl
 
--- a/tests/eelctl_test.cc
+++ b/tests/eelctl_test.cc
@@ -9,7 +9,7 @@
 namespace eelgrasspin::ctl {
 namespace {
 
-TEST(Eelctl, QuotesWhatTheShellUnquoted) {
+TEST(Eelctl, RestoresQuotesThatTheShellRemoved) {
   EXPECT_EQ(command_text({"owner", "of", "panboard", "pan 17"}),
             "owner of panboard \"pan 17\"");
   EXPECT_EQ(command_text({"show slots where epoch>=3"}),
@@ -17,9 +17,10 @@
   EXPECT_EQ(command_text({"owner", "of", "s", ""}), "owner of s \"\"");
 }
 
-TEST(Eelctl, PointsAtTheMistake) {
-  EXPECT_EQ(point_at("drain a", {{"command", 1, 7, "expected server", "h"}}),
-            "drain a\n      ^ expected server (h)\n");
+TEST(Eelctl, PrintsCaretBelowTheFindingsColumn) {
+  EXPECT_EQ(
+      findings_text("drain a", {{"command", 1, 7, "expected server", "h"}}),
+      "drain a\n      ^ expected server (h)\n");
 }
 
 TEST(Eelctl, PrintsTablesWithoutControlCharacters) {
@@ -68,7 +69,7 @@
   return core::operators::build_report(closure, {part}, {});
 }
 
-TEST(Eelctl, WritesThePageOfAReport) {
+TEST(Eelctl, ReportPageIsSelfContainedAndEscaped) {
   std::string page = report_page(sample_report());
   EXPECT_NE(page.find("Verified: every part"), std::string::npos);
   EXPECT_NE(page.find("&lt;season&gt; ended"), std::string::npos);
@@ -78,7 +79,7 @@
   EXPECT_EQ(page.find("href="), std::string::npos);
 }
 
-TEST(Eelctl, SaysOnThePageWhatDoesNotVerify) {
+TEST(Eelctl, ReportPageShowsThatTotalsDoNotVerify) {
   CommandAnswer report = sample_report();
   for (Section& section : report.sections) {
     if (section.title.ends_with(": accounts")) {
@@ -88,7 +89,7 @@
   EXPECT_NE(report_page(report).find("Not verified"), std::string::npos);
 }
 
-TEST(Eelctl, ReadsTheTimesOfReports) {
+TEST(Eelctl, ParsesTheTimesOfReports) {
   EXPECT_EQ(parse_time("1970-01-02T00:00:01.500Z"), 86'401'500);
   EXPECT_EQ(parse_time(core::operators::format_time(
                 WallTime(milliseconds(1'796'379'533'924)))),
--- a/tools/eelctl/main.cc
+++ b/tools/eelctl/main.cc
@@ -12,8 +12,8 @@
 using eelgrasspin::ctl::Client;
 using eelgrasspin::ctl::Options;
 
-int usage(const std::string& form) {
-  std::cerr << "eelctl: " << form << "\n";
+int usage_error(const std::string& arguments) {
+  std::cerr << "eelctl: usage: eelctl " << arguments << "\n";
   return eelgrasspin::ctl::kBadInput;
 }
 
@@ -24,17 +24,17 @@
   if (words.empty()) return ctl::run_prompt(client, options);
   const std::string& first = words.front();
   if (first == "check" || first == "diff" || first == "apply") {
-    if (words.size() != 2) return usage(first + " FILE");
+    if (words.size() != 2) return usage_error(first + " FILE");
     if (first == "check") return ctl::check(words[1]);
     if (first == "diff") return ctl::diff(client, words[1]);
     return ctl::apply(client, options, words[1]);
   }
   if (first == "report" && words.size() > 1 && words[1] == "verify") {
-    if (words.size() != 3) return usage("report verify FILE");
+    if (words.size() != 3) return usage_error("report verify FILE");
     return ctl::verify_report_file(words[2]);
   }
   if (first == "explain") {
-    if (words.size() < 3) return usage("explain ID LOG...");
+    if (words.size() < 3) return usage_error("explain ID LOG...");
     return ctl::explain(words[1], {words.begin() + 2, words.end()});
   }
   return ctl::run_command(client, options, ctl::command_text(words));
@@ -43,9 +43,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  auto read = eelgrasspin::ctl::read_options(argc, argv);
-  if (auto* finished = std::get_if<eelgrasspin::ctl::Finished>(&read)) {
-    return finished->status;
+  auto parsed = eelgrasspin::ctl::read_options(argc, argv);
+  if (auto* early_exit = std::get_if<eelgrasspin::ctl::EarlyExit>(&parsed)) {
+    return early_exit->status;
   }
-  return run(std::get<Options>(read));
+  return run(std::get<Options>(parsed));
 }
