--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -12,7 +12,7 @@
 namespace eelgrasspin::ctl {
 namespace {
 
-/// Events that say what a daemon believed of the store and of its own state.
+/// Events about the store and about the state of the daemon itself.
 constexpr std::array<std::string_view, 11> kContextEvents = {
     "store_lost",
     "store_reached",
@@ -26,35 +26,36 @@
     "stop_ordered",
     "daemon_heard"};
 
-std::int64_t time_of(const std::string& line) {
-  std::string text = field_of(line, "time_ms");
+std::int64_t time_ms_of(const std::string& line) {
+  std::string text = field_value(line, "time_ms");
   std::int64_t time = 0;
   std::from_chars(text.data(), text.data() + text.size(), time);
   return time;
 }
 
-bool is_context(const std::string& line, const std::set<std::string>& servers) {
-  std::string event = field_of(line, "event");
+bool is_context_event(const std::string& line,
+                      const std::set<std::string>& servers) {
+  std::string event = field_value(line, "event");
   if (std::find(kContextEvents.begin(), kContextEvents.end(), event) !=
       kContextEvents.end()) {
     return true;
   }
-  bool about_server = event == "server" || event == "granted" ||
-                      event == "released" || event == "order_failed";
-  return about_server && servers.count(field_of(line, "server")) > 0;
+  bool is_server_event = event == "server" || event == "granted" ||
+                         event == "released" || event == "order_failed";
+  return is_server_event && servers.count(field_value(line, "server")) > 0;
 }
 
 }  // namespace
 
-std::string field_of(const std::string& line, const std::string& key) {
-  std::string wanted = key + "=";
-  std::size_t at = 0;
-  while ((at = line.find(wanted, at)) != std::string::npos) {
-    if (at == 0 || line[at - 1] == ' ') break;
-    at += wanted.size();
+std::string field_value(const std::string& line, const std::string& key) {
+  std::string prefix = key + "=";
+  std::size_t position = 0;
+  while ((position = line.find(prefix, position)) != std::string::npos) {
+    if (position == 0 || line[position - 1] == ' ') break;
+    position += prefix.size();
   }
-  if (at == std::string::npos) return {};
-  std::size_t start = at + wanted.size();
+  if (position == std::string::npos) return {};
+  std::size_t start = position + prefix.size();
   if (start < line.size() && line[start] == '"') {
     std::size_t end = line.find('"', start + 1);
     return line.substr(start + 1, end - start - 1);
@@ -62,34 +63,36 @@
   return line.substr(start, line.find(' ', start) - start);
 }
 
-std::vector<LogLine> story_of(const std::string& id,
-                              const std::vector<LogLine>& lines) {
-  std::vector<LogLine> story;
+std::vector<LogLine> related_lines(const std::string& id,
+                                   const std::vector<LogLine>& lines) {
+  std::vector<LogLine> related;
   std::set<std::string> servers;
   std::set<std::string> files;
   std::int64_t first = 0;
   std::int64_t last = 0;
   for (const LogLine& line : lines) {
-    if (field_of(line.text, "id") != id) continue;
-    story.push_back(line);
+    if (field_value(line.text, "id") != id) continue;
+    related.push_back(line);
     files.insert(line.file);
-    servers.insert(field_of(line.text, "server"));
+    servers.insert(field_value(line.text, "server"));
     first = first == 0 ? line.time_ms : std::min(first, line.time_ms);
     last = std::max(last, line.time_ms);
   }
-  if (story.empty()) return story;
+  if (related.empty()) return related;
   for (const LogLine& line : lines) {
-    bool in_time = line.time_ms >= first - kContextMs && line.time_ms <= last;
-    if (!in_time || files.count(line.file) == 0) continue;
-    if (field_of(line.text, "id").empty() && is_context(line.text, servers)) {
-      story.push_back(line);
+    bool in_window =
+        line.time_ms >= first - kContextBeforeMs && line.time_ms <= last;
+    if (!in_window || files.count(line.file) == 0) continue;
+    if (field_value(line.text, "id").empty() &&
+        is_context_event(line.text, servers)) {
+      related.push_back(line);
     }
   }
-  std::stable_sort(story.begin(), story.end(),
+  std::stable_sort(related.begin(), related.end(),
                    [](const LogLine& left, const LogLine& right) {
                      return left.time_ms < right.time_ms;
                    });
-  return story;
+  return related;
 }
 
 int explain(const std::string& id, const std::vector<std::string>& files) {
@@ -101,15 +104,15 @@
       return kBadInput;
     }
     for (std::string text; std::getline(in, text);) {
-      lines.push_back({time_of(text), file, text});
+      lines.push_back({time_ms_of(text), file, text});
     }
   }
-  std::vector<LogLine> story = story_of(id, lines);
-  if (story.empty()) {
-    std::cerr << "eelctl: no line names the request " << id << "\n";
+  std::vector<LogLine> related = related_lines(id, lines);
+  if (related.empty()) {
+    std::cerr << "eelctl: no log line with the request id " << id << "\n";
     return kBadInput;
   }
-  for (const LogLine& line : story) {
+  for (const LogLine& line : related) {
     std::cout << line.file << ": " << line.text << "\n";
   }
   return kDone;
--- a/src/ctl/explain.h
+++ b/src/ctl/explain.h
@@ -7,25 +7,26 @@
 
 namespace eelgrasspin::ctl {
 
-/// A line of a log, with the file it stands in.
+/// One line of a log file.
 struct LogLine {
-  std::int64_t time_ms = 0;  ///< Unix milliseconds; 0 if the line names none.
+  std::int64_t time_ms = 0;  ///< Unix milliseconds; 0 if the line has no time.
   std::string file;
   std::string text;
 };
 
-/// What a log says of one request: lines that name its id, and lines on the
-/// servers it went to and on the store from `kContextMs` before its first line
-/// to its last. Sorted by time.
-std::vector<LogLine> story_of(const std::string& id,
-                              const std::vector<LogLine>& lines);
+/// Lines about one request, sorted by time: those with its id, and, from the
+/// same files and from `kContextBeforeMs` before the first of these to the
+/// last, those about the servers it was sent to and about the store and the
+/// daemon.
+std::vector<LogLine> related_lines(const std::string& id,
+                                   const std::vector<LogLine>& lines);
 
-inline constexpr std::int64_t kContextMs = 3000;
+inline constexpr std::int64_t kContextBeforeMs = 3000;
 
 /// The value of a key=value field; empty if the line has none.
-std::string field_of(const std::string& line, const std::string& key);
+std::string field_value(const std::string& line, const std::string& key);
 
-/// Prints the story of a request from log files. Returns the exit status.
+/// Prints the lines about a request from log files. Returns the exit status.
 int explain(const std::string& id, const std::vector<std::string>& files);
 
 }  // namespace eelgrasspin::ctl
--- a/tests/explain_test.cc
+++ b/tests/explain_test.cc
@@ -11,13 +11,13 @@
 
 TEST(Explain, FieldsAreFoundWithAndWithoutQuotes) {
   std::string text = "event=server id=7 why=\"status 409\" uuid=8";
-  EXPECT_EQ(field_of(text, "id"), "7");
-  EXPECT_EQ(field_of(text, "why"), "status 409");
-  EXPECT_EQ(field_of(text, "uuid"), "8");
-  EXPECT_EQ(field_of(text, "none"), "");
+  EXPECT_EQ(field_value(text, "id"), "7");
+  EXPECT_EQ(field_value(text, "why"), "status 409");
+  EXPECT_EQ(field_value(text, "uuid"), "8");
+  EXPECT_EQ(field_value(text, "none"), "");
 }
 
-TEST(Explain, StoryHasTheRequestItsServersAndWhatItsDaemonBelieved) {
+TEST(Explain, RelatedLinesIncludeServerAndStoreEventsOfTheSameFile) {
   std::vector<LogLine> lines = {
       line(1000, "a", "event=store_lost why=timeout"),
       line(9000, "a", "event=server server=s1 state=gone"),
@@ -28,12 +28,12 @@
       line(9560, "a", "event=request_end id=y server=s1 status=200"),
       line(9800, "a", "event=store_reached"),
   };
-  std::vector<LogLine> story = story_of("x", lines);
-  ASSERT_EQ(story.size(), 3u);
-  EXPECT_NE(story[0].text.find("server=s1 state=gone"), std::string::npos);
-  EXPECT_NE(story[1].text.find("attempt_failed"), std::string::npos);
-  EXPECT_NE(story[2].text.find("request_end"), std::string::npos);
-  EXPECT_TRUE(story_of("z", lines).empty());
+  std::vector<LogLine> related = related_lines("x", lines);
+  ASSERT_EQ(related.size(), 3u);
+  EXPECT_NE(related[0].text.find("server=s1 state=gone"), std::string::npos);
+  EXPECT_NE(related[1].text.find("attempt_failed"), std::string::npos);
+  EXPECT_NE(related[2].text.find("request_end"), std::string::npos);
+  EXPECT_TRUE(related_lines("z", lines).empty());
 }
 
 }  // namespace
