--- a/src/ctl/files.h
+++ b/src/ctl/files.h
@@ -6,8 +6,9 @@
 
 namespace eelgrasspin::ctl {
 
-/// Empty if the file cannot be read. "-" is the standard input.
+/// Contents of a file; empty if it cannot be read. "-" is the standard input.
 std::optional<std::string> read_file(const std::string& path);
+/// Replaces the contents of a file. Returns whether all of it was written.
 bool write_file(const std::string& path, const std::string& text);
 
 }  // namespace eelgrasspin::ctl
--- a/src/ctl/line_editor.cc
+++ b/src/ctl/line_editor.cc
@@ -17,25 +17,26 @@
 #ifdef EELGRASSPIN_READLINE
 namespace {
 
-/// readline takes plain functions; these two stand for their captures.
+/// readline calls plain functions, which cannot capture; these hold their
+/// state.
 const Completer* current_completer = nullptr;
-std::vector<std::string> current_words;
+std::vector<std::string> current_completions;
 
-char* next_word(const char* begun, int state) {
+char* next_word(const char* prefix, int state) {
   static std::size_t next = 0;
   if (state == 0) next = 0;
-  while (next < current_words.size()) {
-    const std::string& word = current_words[next++];
-    if (word.starts_with(begun)) return strdup(word.c_str());
+  while (next < current_completions.size()) {
+    const std::string& word = current_completions[next++];
+    if (word.starts_with(prefix)) return strdup(word.c_str());
   }
   return nullptr;
 }
 
-char** complete(const char* begun, int start, int /*end*/) {
+char** complete(const char* prefix, int start, int /*end*/) {
   std::string before(rl_line_buffer, static_cast<std::size_t>(start));
-  current_words = (*current_completer)(before + begun);
+  current_completions = (*current_completer)(before + prefix);
   rl_attempted_completion_over = 1;
-  return rl_completion_matches(begun, next_word);
+  return rl_completion_matches(prefix, next_word);
 }
 
 }  // namespace
--- a/src/ctl/line_editor.h
+++ b/src/ctl/line_editor.h
@@ -8,11 +8,11 @@
 
 namespace eelgrasspin::ctl {
 
-/// Words that may follow a text.
+/// Returns the words that can complete the last word of a text.
 using Completer = std::function<std::vector<std::string>(const std::string&)>;
 
-/// Reads a line with history and completion where the build has readline, else
-/// a plain one. Empty at the end of the input.
+/// Reads a line, with history and completion if the build has readline. Empty
+/// at the end of the input.
 std::optional<std::string> read_line(const std::string& prompt,
                                      const Completer& completer);
 
