--- a/src/ctl/report_page.cc
+++ b/src/ctl/report_page.cc
@@ -53,7 +53,7 @@
   return kColumns;
 }
 
-std::uint64_t number_of(const std::string& text) {
+std::uint64_t parse_number(const std::string& text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -61,23 +61,24 @@
 
 const std::string& cell(const Table& table, const std::vector<std::string>& row,
                         const std::string& column) {
-  static const std::string kNone;
+  static const std::string kEmpty;
   auto found = std::find(table.columns.begin(), table.columns.end(), column);
   auto index = static_cast<std::size_t>(found - table.columns.begin());
-  return index < row.size() ? row[index] : kNone;
+  return index < row.size() ? row[index] : kEmpty;
 }
 
-/// "gongoni" of "part gongoni: accounts" if the section is what is asked for.
-std::optional<std::string> zone_of(const Section& section,
-                                   const std::string& what) {
-  constexpr std::string_view kPart = "part ";
-  std::string ending = ": " + what;
+/// "gongoni" from the title "part gongoni: accounts"; empty if the section is
+/// not of this kind.
+std::optional<std::string> zone_of_part(const Section& section,
+                                        const std::string& kind) {
+  constexpr std::string_view kPrefix = "part ";
+  std::string suffix = ": " + kind;
   const std::string& title = section.title;
-  if (!title.starts_with(kPart) || !title.ends_with(ending)) {
+  if (!title.starts_with(kPrefix) || !title.ends_with(suffix)) {
     return std::nullopt;
   }
-  return title.substr(kPart.size(),
-                      title.size() - kPart.size() - ending.size());
+  return title.substr(kPrefix.size(),
+                      title.size() - kPrefix.size() - suffix.size());
 }
 
 std::string summary_field(const CommandAnswer& report,
@@ -94,13 +95,13 @@
 std::vector<Bar> outcome_bars(const CommandAnswer& report) {
   std::vector<Bar> bars;
   for (const Section& section : report.sections) {
-    auto zone = zone_of(section, "accounts");
+    auto zone = zone_of_part(section, "accounts");
     if (!zone) continue;
     Bar bar{*zone, {}};
     for (const std::string& column : outcome_columns()) {
       std::uint64_t sum = 0;
       for (const auto& row : section.table.rows) {
-        sum += number_of(cell(section.table, row, column));
+        sum += parse_number(cell(section.table, row, column));
       }
       bar.parts.push_back({column, column, sum});
     }
@@ -112,11 +113,11 @@
 std::vector<Bar> reason_bars(const CommandAnswer& report) {
   std::map<std::pair<std::string, std::string>, std::uint64_t> counts;
   for (const Section& section : report.sections) {
-    if (!zone_of(section, "refused and unknown by reason")) continue;
+    if (!zone_of_part(section, "refused and unknown by reason")) continue;
     for (const auto& row : section.table.rows) {
       auto key = std::pair(cell(section.table, row, "outcome"),
                            cell(section.table, row, "reason"));
-      counts[key] += number_of(cell(section.table, row, "count"));
+      counts[key] += parse_number(cell(section.table, row, "count"));
     }
   }
   std::vector<Bar> bars;
@@ -128,16 +129,20 @@
   return bars;
 }
 
-std::uint64_t units_of(const std::string& slots, const std::string& key) {
+/// Number of units in a row of the ownership table: one for a key, else that of
+/// the slot range, such as "0-511".
+std::uint64_t unit_count(const std::string& slots, const std::string& key) {
   if (!key.empty()) return 1;
   std::size_t dash = slots.find('-');
   if (dash == std::string::npos) return 1;
-  return number_of(slots.substr(dash + 1)) - number_of(slots) + 1;
+  return parse_number(slots.substr(dash + 1)) - parse_number(slots) + 1;
 }
 
-/// Changes in the number of slots and keys that each server held.
-class Holdings {
+/// Number of slots and keys that each server held over time. Times are Unix
+/// milliseconds.
+class HoldingsTimeline {
  public:
+  /// Holdings that have not ended are taken to end at `end`.
   void add(const Section& section, std::int64_t end) {
     const Table& table = section.table;
     for (const auto& row : table.rows) {
@@ -145,51 +150,52 @@
       if (!from) continue;
       auto until = parse_time(cell(table, row, "until"));
       auto units = static_cast<std::int64_t>(
-          units_of(cell(table, row, "slots"), cell(table, row, "key")));
-      auto& changes = servers_[cell(table, row, "server")];
+          unit_count(cell(table, row, "slots"), cell(table, row, "key")));
+      auto& changes = changes_by_server_[cell(table, row, "server")];
       changes[*from] += units;
       changes[until.value_or(end)] -= units;
-      first_ = first_ ? std::min(*first_, *from) : *from;
-      last_ = std::max({last_, *from, until.value_or(end)});
+      first_time_ = first_time_ ? std::min(*first_time_, *from) : *from;
+      last_time_ = std::max({last_time_, *from, until.value_or(end)});
     }
   }
 
-  bool empty() const { return servers_.empty(); }
-  std::int64_t first() const { return first_.value_or(0); }
-  std::int64_t last() const { return last_; }
+  bool empty() const { return changes_by_server_.empty(); }
+  std::int64_t first() const { return first_time_.value_or(0); }
+  std::int64_t last() const { return last_time_; }
 
-  std::vector<StepLine> lines() const {
-    std::vector<StepLine> lines;
-    for (const auto& [server, changes] : servers_) {
-      StepLine line{server, {}};
+  std::vector<StepSeries> series() const {
+    std::vector<StepSeries> series;
+    for (const auto& [server, changes] : changes_by_server_) {
+      StepSeries server_series{server, {}};
       std::int64_t held = 0;
       for (const auto& [at, change] : changes) {
         held += change;
-        line.points.emplace_back(at, held);
+        server_series.points.emplace_back(at, held);
       }
-      lines.push_back(std::move(line));
+      series.push_back(std::move(server_series));
     }
-    return lines;
+    return series;
   }
 
  private:
-  std::map<std::string, std::map<std::int64_t, std::int64_t>> servers_;
-  std::optional<std::int64_t> first_;
-  std::int64_t last_ = 0;
+  std::map<std::string, std::map<std::int64_t, std::int64_t>>
+      changes_by_server_;
+  std::optional<std::int64_t> first_time_;
+  std::int64_t last_time_ = 0;
 };
 
 std::string ownership_charts(const CommandAnswer& report) {
   std::int64_t sealed = parse_time(summary_field(report, "sealed")).value_or(0);
   std::string out;
   for (const Section& section : report.sections) {
-    auto zone = zone_of(section, "ownership");
+    auto zone = zone_of_part(section, "ownership");
     if (!zone) continue;
-    Holdings holdings;
-    holdings.add(section, sealed);
-    if (holdings.empty()) continue;
+    HoldingsTimeline timeline;
+    timeline.add(section, sealed);
+    if (timeline.empty()) continue;
     out += "<h3>" + escape_html(*zone) + "</h3>\n";
-    out += step_chart("Slots and keys held in " + *zone, holdings.lines(),
-                      holdings.first(), holdings.last());
+    out += step_chart("Slots and keys held in " + *zone, timeline.series(),
+                      timeline.first(), timeline.last());
   }
   return out.empty() ? "<p>No ownership on record.</p>\n" : out;
 }
@@ -256,16 +262,17 @@
   int minute = 0;
   int second = 0;
   int ms = 0;
-  int read = std::sscanf(text.c_str(), "%4d-%2u-%2uT%2d:%2d:%2d.%3dZ", &year,
-                         &month, &day, &hour, &minute, &second, &ms);
-  constexpr int kFields = 7;
-  if (read != kFields) return std::nullopt;
+  int fields_read =
+      std::sscanf(text.c_str(), "%4d-%2u-%2uT%2d:%2d:%2d.%3dZ", &year, &month,
+                  &day, &hour, &minute, &second, &ms);
+  constexpr int kFieldCount = 7;
+  if (fields_read != kFieldCount) return std::nullopt;
   std::chrono::sys_days date = std::chrono::year(year) /
                                std::chrono::month(month) /
                                std::chrono::day(day);
-  auto since = date.time_since_epoch() + std::chrono::hours(hour) +
-               minutes(minute) + seconds(second) + milliseconds(ms);
-  return std::chrono::duration_cast<milliseconds>(since).count();
+  auto since_epoch = date.time_since_epoch() + std::chrono::hours(hour) +
+                     minutes(minute) + seconds(second) + milliseconds(ms);
+  return std::chrono::duration_cast<milliseconds>(since_epoch).count();
 }
 
 std::string report_page(const CommandAnswer& report) {
--- a/src/ctl/report_page.h
+++ b/src/ctl/report_page.h
@@ -8,8 +8,9 @@
 
 namespace eelgrasspin::ctl {
 
-/// A closing report as one HTML page that needs nothing else: verdict of the
-/// check, charts of outcomes and of ownership over time, and every table.
+/// A closing report as a self-contained HTML page: the result of its
+/// verification, charts of outcomes and of ownership over time, and every
+/// table.
 std::string report_page(const CommandAnswer& report);
 
 /// Unix milliseconds of "2026-12-04T09:46:09.123Z"; empty if it is not such a
--- a/src/ctl/svg.cc
+++ b/src/ctl/svg.cc
@@ -15,11 +15,11 @@
 constexpr int kValueWidth = 110;
 constexpr int kPlotWidth = kWidth - kLabelWidth - kValueWidth;
 constexpr int kBarHeight = 16;
-constexpr int kBarRow = 24;
-constexpr int kLineHeight = 26;
-constexpr int kLineRow = 34;
+constexpr int kBarRowHeight = 24;
+constexpr int kStepHeight = 26;
+constexpr int kStepRowHeight = 34;
 constexpr int kAxisHeight = 22;
-constexpr int kTextShift = 12;  ///< From the top of a row to its base line.
+constexpr int kTextBaseline = 12;  ///< From the top of a row to its base line.
 
 std::string open_svg(const std::string& title, int height) {
   std::ostringstream out;
@@ -42,20 +42,21 @@
   return sum;
 }
 
-/// Keeps a value that is there visible, however small beside the others.
-double scaled(std::uint64_t value, std::uint64_t most) {
+/// Width in pixels; at least one pixel for a value above zero, so that it stays
+/// visible.
+double bar_width(std::uint64_t value, std::uint64_t max_value) {
   if (value == 0) return 0;
   double width = static_cast<double>(value) * kPlotWidth /
-                 static_cast<double>(std::max<std::uint64_t>(most, 1));
+                 static_cast<double>(std::max<std::uint64_t>(max_value, 1));
   return std::max(width, 1.0);
 }
 
-std::string bar_row(const Bar& bar, std::uint64_t most, int y) {
+std::string bar_row(const Bar& bar, std::uint64_t max_value, int y) {
   std::ostringstream out;
   double x = kLabelWidth;
-  out << text_at(kLabelWidth - 8, y + kTextShift, "end", bar.label);
+  out << text_at(kLabelWidth - 8, y + kTextBaseline, "end", bar.label);
   for (const BarPart& part : bar.parts) {
-    double width = scaled(part.value, most);
+    double width = bar_width(part.value, max_value);
     if (width == 0) continue;
     out << "<rect class=\"" << part.style << "\" x=\"" << x << "\" y=\"" << y
         << "\" width=\"" << width << "\" height=\"" << kBarHeight
@@ -63,50 +64,50 @@
         << part.value << "</title></rect>\n";
     x += width;
   }
-  out << text_at(static_cast<int>(x) + 6, y + kTextShift, "start",
+  out << text_at(static_cast<int>(x) + 6, y + kTextBaseline, "start",
                  std::to_string(sum_of(bar)));
   return out.str();
 }
 
-/// The area below a step line; `most` is its scale.
-std::string step_row(const StepLine& line, std::int64_t most,
+/// The area below a series, drawn to the full height at `max_value`.
+std::string step_row(const StepSeries& series, std::int64_t max_value,
                      std::int64_t first, std::int64_t last, int y) {
-  auto x_of = [&](std::int64_t at) {
+  auto x_at = [&](std::int64_t time) {
     auto span = static_cast<double>(std::max<std::int64_t>(last - first, 1));
-    double share = static_cast<double>(std::clamp(at, first, last) - first);
-    return kLabelWidth + share / span * kPlotWidth;
+    double offset = static_cast<double>(std::clamp(time, first, last) - first);
+    return kLabelWidth + offset / span * kPlotWidth;
   };
-  auto y_of = [&](std::int64_t value) {
-    double share = static_cast<double>(std::max<std::int64_t>(value, 0)) /
-                   static_cast<double>(std::max<std::int64_t>(most, 1));
-    return y + kLineHeight - share * kLineHeight;
+  auto y_at = [&](std::int64_t value) {
+    double fraction = static_cast<double>(std::max<std::int64_t>(value, 0)) /
+                      static_cast<double>(std::max<std::int64_t>(max_value, 1));
+    return y + kStepHeight - fraction * kStepHeight;
   };
   std::ostringstream path;
   std::int64_t value = 0;
   std::int64_t highest = 0;
-  path << "M" << x_of(first) << " " << y_of(0);
-  for (const auto& [at, next] : line.points) {
-    path << " L" << x_of(at) << " " << y_of(value) << " L" << x_of(at) << " "
-         << y_of(next);
-    value = next;
+  path << "M" << x_at(first) << " " << y_at(0);
+  for (const auto& [time, new_value] : series.points) {
+    path << " L" << x_at(time) << " " << y_at(value) << " L" << x_at(time)
+         << " " << y_at(new_value);
+    value = new_value;
     highest = std::max(highest, value);
   }
-  path << " L" << x_of(last) << " " << y_of(value) << " L" << x_of(last) << " "
-       << y_of(0) << " Z";
+  path << " L" << x_at(last) << " " << y_at(value) << " L" << x_at(last) << " "
+       << y_at(0) << " Z";
   std::ostringstream out;
-  out << text_at(kLabelWidth - 8, y + kLineHeight - 6, "end", line.label)
+  out << text_at(kLabelWidth - 8, y + kStepHeight - 6, "end", series.label)
       << "<path class=\"held\" d=\"" << path.str() << "\"><title>"
-      << escape_html(line.label) << ": at most " << highest
+      << escape_html(series.label) << ": at most " << highest
       << "</title></path>\n"
       << "<line class=\"rule\" x1=\"" << kLabelWidth << "\" x2=\""
-      << kLabelWidth + kPlotWidth << "\" y1=\"" << y + kLineHeight << "\" y2=\""
-      << y + kLineHeight << "\"/>\n"
-      << text_at(kLabelWidth + kPlotWidth + 6, y + kLineHeight - 6, "start",
+      << kLabelWidth + kPlotWidth << "\" y1=\"" << y + kStepHeight << "\" y2=\""
+      << y + kStepHeight << "\"/>\n"
+      << text_at(kLabelWidth + kPlotWidth + 6, y + kStepHeight - 6, "start",
                  "max " + std::to_string(highest));
   return out.str();
 }
 
-std::string time_text(std::int64_t ms) {
+std::string format_ms(std::int64_t ms) {
   return core::operators::format_time(WallTime(milliseconds(ms)));
 }
 
@@ -139,34 +140,36 @@
 }
 
 std::string bar_chart(const std::string& title, const std::vector<Bar>& bars) {
-  std::uint64_t most = 0;
-  for (const Bar& bar : bars) most = std::max(most, sum_of(bar));
-  int height = static_cast<int>(bars.size()) * kBarRow;
-  std::string out = open_svg(title, std::max(height, kBarRow));
+  std::uint64_t max_value = 0;
+  for (const Bar& bar : bars) max_value = std::max(max_value, sum_of(bar));
+  int height = static_cast<int>(bars.size()) * kBarRowHeight;
+  std::string out = open_svg(title, std::max(height, kBarRowHeight));
   int y = 0;
   for (const Bar& bar : bars) {
-    out += bar_row(bar, most, y);
-    y += kBarRow;
+    out += bar_row(bar, max_value, y);
+    y += kBarRowHeight;
   }
   return out + "</svg>\n";
 }
 
 std::string step_chart(const std::string& title,
-                       const std::vector<StepLine>& lines, std::int64_t first,
-                       std::int64_t last) {
-  std::int64_t most = 0;
-  for (const StepLine& line : lines) {
-    for (const auto& [at, value] : line.points) most = std::max(most, value);
+                       const std::vector<StepSeries>& all_series,
+                       std::int64_t first, std::int64_t last) {
+  std::int64_t max_value = 0;
+  for (const StepSeries& series : all_series) {
+    for (const auto& [time, value] : series.points)
+      max_value = std::max(max_value, value);
   }
-  int height = static_cast<int>(lines.size()) * kLineRow + kAxisHeight;
+  int height =
+      static_cast<int>(all_series.size()) * kStepRowHeight + kAxisHeight;
   std::string out = open_svg(title, height);
   int y = 0;
-  for (const StepLine& line : lines) {
-    out += step_row(line, most, first, last, y);
-    y += kLineRow;
+  for (const StepSeries& series : all_series) {
+    out += step_row(series, max_value, first, last, y);
+    y += kStepRowHeight;
   }
-  out += text_at(kLabelWidth, height - 6, "start", time_text(first));
-  out += text_at(kLabelWidth + kPlotWidth, height - 6, "end", time_text(last));
+  out += text_at(kLabelWidth, height - 6, "start", format_ms(first));
+  out += text_at(kLabelWidth + kPlotWidth, height - 6, "end", format_ms(last));
   return out + "</svg>\n";
 }
 
--- a/src/ctl/svg.h
+++ b/src/ctl/svg.h
@@ -9,12 +9,13 @@
 /// Charts as inline SVG.
 namespace eelgrasspin::ctl {
 
-/// Text with the characters that HTML reserves replaced.
+/// Text with the characters that HTML reserves escaped. Control characters
+/// other than line ends become dots.
 std::string escape_html(const std::string& text);
 
 struct BarPart {
   std::string label;
-  std::string style;  ///< CSS class of its colour.
+  std::string style;  ///< CSS class that sets the colour.
   std::uint64_t value = 0;
 };
 
@@ -23,19 +24,21 @@
   std::vector<BarPart> parts;
 };
 
-/// Horizontal stacked bars on one scale, each with its sum at the end.
+/// SVG of horizontal stacked bars on a common scale, each followed by its sum.
 std::string bar_chart(const std::string& title, const std::vector<Bar>& bars);
 
-/// A number that changes at points in time (Unix milliseconds).
-struct StepLine {
+/// A number that changes in steps.
+struct StepSeries {
   std::string label;
+  /// Times in Unix milliseconds, with the value from then on.
   std::vector<std::pair<std::int64_t, std::int64_t>> points;
 };
 
-/// One row for each line, on one scale, from `first` to `last`.
+/// SVG with one row for each series, on a common scale, from the time `first`
+/// to `last` (Unix milliseconds).
 std::string step_chart(const std::string& title,
-                       const std::vector<StepLine>& lines, std::int64_t first,
-                       std::int64_t last);
+                       const std::vector<StepSeries>& all_series,
+                       std::int64_t first, std::int64_t last);
 
 }  // namespace eelgrasspin::ctl
 
