--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -20,51 +20,50 @@
 
 constexpr int kExitOk = 0;
 constexpr int kExitUsage = 1;
-constexpr int kExitSettings = 2;
-constexpr int kExitPorts = 3;
+constexpr int kExitBadSettings = 2;
+constexpr int kExitPortUnavailable = 3;
 
 struct Arguments {
   std::string settings;
   bool check = false;
 };
 
-/// Empty if the program has nothing more to do; `status` is then its exit
-/// status.
+/// Empty if the program ends at once, with the exit status `status`.
 std::optional<Arguments> read_arguments(int argc, char** argv, int& status) {
-  options::options_description known("eelgrasspind --settings FILE");
-  known.add_options()("settings", options::value<std::string>(),
-                      "settings of this daemon (INI)")(
-      "check", "read and check the settings, then exit")("help", "this text")(
-      "version", "print the version");
-  options::variables_map given;
+  options::options_description description("eelgrasspind --settings FILE");
+  description.add_options()("settings", options::value<std::string>(),
+                            "settings file of this daemon (INI)")(
+      "check", "read and check the settings, then exit")(
+      "help", "print this help")("version", "print the version");
+  options::variables_map values;
   try {
     options::store(options::command_line_parser(argc, argv)
-                       .options(known)
+                       .options(description)
                        .positional({})
                        .run(),
-                   given);
-  } catch (const options::error& wrong) {
-    std::cerr << "eelgrasspind: " << wrong.what() << "\n" << known;
+                   values);
+  } catch (const options::error& failure) {
+    std::cerr << "eelgrasspind: " << failure.what() << "\n" << description;
     status = kExitUsage;
     return std::nullopt;
   }
-  if (given.count("help") > 0) {
-    std::cout << known;
+  if (values.count("help") > 0) {
+    std::cout << description;
     status = kExitOk;
     return std::nullopt;
   }
-  if (given.count("version") > 0) {
+  if (values.count("version") > 0) {
     std::cout << "eelgrasspind " << EELGRASSPIN_VERSION << "\n";
     status = kExitOk;
     return std::nullopt;
   }
-  if (given.count("settings") == 0) {
-    std::cerr << "eelgrasspind: --settings FILE is needed\n" << known;
+  if (values.count("settings") == 0) {
+    std::cerr << "eelgrasspind: --settings FILE is required\n" << description;
     status = kExitUsage;
     return std::nullopt;
   }
-  return Arguments{given["settings"].as<std::string>(),
-                   given.count("check") > 0};
+  return Arguments{values["settings"].as<std::string>(),
+                   values.count("check") > 0};
 }
 
 std::optional<std::string> read_file(const std::string& path) {
@@ -82,14 +81,14 @@
     std::cerr << "eelgrasspind: cannot read " << path << "\n";
     return std::nullopt;
   }
-  auto checked = eelgrasspin::config::read_settings(*text, path);
-  if (const auto* findings = std::get_if<std::vector<Finding>>(&checked)) {
+  auto result = eelgrasspin::config::read_settings(*text, path);
+  if (const auto* findings = std::get_if<std::vector<Finding>>(&result)) {
     for (const Finding& finding : *findings) {
       std::cerr << to_string(finding) << "\n";
     }
     return std::nullopt;
   }
-  return std::get<Settings>(std::move(checked));
+  return std::get<Settings>(std::move(result));
 }
 
 int run(const Settings& settings) {
@@ -100,13 +99,15 @@
   for (const Error& error : errors) {
     std::cerr << "eelgrasspind: " << error.message << "\n";
   }
-  if (!errors.empty()) return kExitPorts;
-  int signals_seen = 0;
+  if (!errors.empty()) return kExitPortUnavailable;
+  int signal_count = 0;
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   std::function<void(boost::system::error_code, int)> on_signal =
-      [&](boost::system::error_code failed, int /*number*/) {
-        if (failed) return;
-        if (++signals_seen > 1) return io.stop();
+      [&](boost::system::error_code wait_error, int /*number*/) {
+        if (wait_error) return;
+        // A second signal stops without waiting for the graceful stop to
+        // complete.
+        if (++signal_count > 1) return io.stop();
         shell.request_stop();
         signals.async_wait(on_signal);
       };
@@ -123,7 +124,7 @@
   std::optional<Arguments> arguments = read_arguments(argc, argv, status);
   if (!arguments) return status;
   std::optional<Settings> settings = load_settings(arguments->settings);
-  if (!settings) return kExitSettings;
+  if (!settings) return kExitBadSettings;
   if (arguments->check) {
     std::cout << arguments->settings << ": ok\n";
     return kExitOk;
