--- a/tools/eelload/main.cc
+++ b/tools/eelload/main.cc
@@ -21,14 +21,14 @@
 constexpr int kExitUsage = 1;
 constexpr int kExitMismatch = 2;
 
-options::options_description known_options() {
+options::options_description describe_options() {
   LoadOptions defaults;
-  options::options_description known(
+  options::options_description description(
       "eelload --target IP:PORT [--target ...] [options]; JSON to standard "
       "output");
-  auto add = known.add_options();
+  auto add = description.add_options();
   add("target", options::value<std::vector<std::string>>()->composing(),
-      "callers' port of a daemon; several are taken in turn");
+      "callers' port of a daemon; can be repeated, used round-robin");
   add("direct", options::value<std::string>(),
       "backend server to measure directly in the same run");
   add("direct-path", options::value<std::string>(),
@@ -40,90 +40,92 @@
   add("key-prefix",
       options::value<std::string>()->default_value(defaults.key_prefix),
       "text before each key's number");
-  add("keys", options::value<std::size_t>()->default_value(defaults.keys),
+  add("keys", options::value<std::size_t>()->default_value(defaults.key_count),
       "number of keys");
-  add("zipf", options::value<double>()->default_value(defaults.zipf),
-      "exponent of the keys' popularity");
+  add("zipf", options::value<double>()->default_value(defaults.zipf_exponent),
+      "exponent of the Zipf distribution of the keys");
   add("body-bytes", options::value<std::size_t>()->default_value(0),
-      "size of each body");
+      "size of each request body");
   add("rate", options::value<double>()->default_value(defaults.rate),
-      "requests started a second");
+      "requests started per second");
   add("seconds", options::value<double>()->default_value(10),
       "length of each measurement");
   add("warm-up", options::value<double>()->default_value(1),
-      "seconds before it that are not counted");
+      "seconds before each measurement that are not counted");
   add("rounds", options::value<int>()->default_value(1),
-      "measurements of each kind, direct and through the daemons in turn");
+      "measurements of each kind, alternately direct and through the daemons");
   add("deadline-ms", options::value<std::int64_t>()->default_value(2000),
       "deadline of each request");
   add("connections",
-      options::value<std::size_t>()->default_value(defaults.connections),
-      "most connections to each target");
+      options::value<std::size_t>()->default_value(
+          defaults.connections_per_target),
+      "maximum number of connections to each target");
   add("repeats", options::value<std::uint32_t>()->default_value(0),
-      "times a refused request is sent again, each after a second");
+      "times a refused request is sent again, a second after each refusal");
   add("idempotency-keys", "send a fresh Idempotency-Key with each request");
   add("seed", options::value<std::uint64_t>()->default_value(defaults.seed),
-      "seed of the drawn keys");
+      "random seed of the keys");
   add("record", options::value<std::string>()->default_value(""),
       "file for the outcome of each request");
   add("daemon-pid", options::value<int>(),
-      "process whose processor time is counted for each request");
-  add("help", "this text");
-  return known;
+      "process whose processor time per request is measured");
+  add("help", "print this help");
+  return description;
 }
 
-Duration seconds_of(double value) {
+Duration seconds_from(double value) {
   return Duration(static_cast<std::int64_t>(value * 1e6));
 }
 
-LoadOptions load_options(const options::variables_map& given) {
+LoadOptions load_options(const options::variables_map& values) {
   LoadOptions load;
-  for (const auto& target : given["target"].as<std::vector<std::string>>()) {
+  for (const auto& target : values["target"].as<std::vector<std::string>>()) {
     load.targets.emplace_back(target);
   }
-  load.record = given["record"].as<std::string>();
-  load.path = given["path"].as<std::string>();
-  load.method = given["method"].as<std::string>();
-  load.key_prefix = given["key-prefix"].as<std::string>();
-  load.keys = std::max<std::size_t>(1, given["keys"].as<std::size_t>());
-  load.zipf = given["zipf"].as<double>();
-  load.body_bytes = given["body-bytes"].as<std::size_t>();
-  load.rate = std::max(0.01, given["rate"].as<double>());
-  load.duration = seconds_of(given["seconds"].as<double>());
-  load.warm_up = seconds_of(given["warm-up"].as<double>());
+  load.record_file = values["record"].as<std::string>();
+  load.path = values["path"].as<std::string>();
+  load.method = values["method"].as<std::string>();
+  load.key_prefix = values["key-prefix"].as<std::string>();
+  load.key_count = std::max<std::size_t>(1, values["keys"].as<std::size_t>());
+  load.zipf_exponent = values["zipf"].as<double>();
+  load.body_bytes = values["body-bytes"].as<std::size_t>();
+  load.rate = std::max(0.01, values["rate"].as<double>());
+  load.duration = seconds_from(values["seconds"].as<double>());
+  load.warm_up = seconds_from(values["warm-up"].as<double>());
   load.deadline =
-      eelgrasspin::milliseconds(given["deadline-ms"].as<std::int64_t>());
-  load.connections = given["connections"].as<std::size_t>();
-  load.repeats = given["repeats"].as<std::uint32_t>();
-  load.idempotency_keys = given.count("idempotency-keys") > 0;
-  load.seed = given["seed"].as<std::uint64_t>();
+      eelgrasspin::milliseconds(values["deadline-ms"].as<std::int64_t>());
+  load.connections_per_target = values["connections"].as<std::size_t>();
+  load.max_repeats = values["repeats"].as<std::uint32_t>();
+  load.idempotency_keys = values.count("idempotency-keys") > 0;
+  load.seed = values["seed"].as<std::uint64_t>();
   return load;
 }
 
-/// Processor time of a process in seconds; 0 if it cannot be read.
+/// User and system time of a process in seconds; 0 if it cannot be read.
 double processor_seconds(int pid) {
-  constexpr int kUserField = 14;
+  constexpr int kUserTimeField = 14;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string word;
   double ticks = 0;
-  for (int field = 1; field <= kUserField + 1 && file >> word; ++field) {
-    if (field >= kUserField) ticks += std::strtod(word.c_str(), nullptr);
+  for (int field = 1; field <= kUserTimeField + 1 && file >> word; ++field) {
+    if (field >= kUserTimeField) ticks += std::strtod(word.c_str(), nullptr);
   }
   return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-void add(LoadResult& sum, const LoadResult& part) {
-  sum.offered += part.offered;
-  sum.answered += part.answered;
-  sum.not_run += part.not_run;
-  sum.unknown += part.unknown;
-  sum.failed += part.failed;
-  sum.mismatched += part.mismatched;
-  sum.repeated += part.repeated;
-  for (const auto& [reason, count] : part.reasons) sum.reasons[reason] += count;
-  sum.answered_latency.merge(part.answered_latency);
-  sum.refused_latency.merge(part.refused_latency);
-  sum.elapsed += part.elapsed;
+void add(LoadResult& total, const LoadResult& round_result) {
+  total.offered += round_result.offered;
+  total.answered += round_result.answered;
+  total.not_run += round_result.not_run;
+  total.unknown += round_result.unknown;
+  total.failed += round_result.failed;
+  total.mismatched += round_result.mismatched;
+  total.repeated += round_result.repeated;
+  for (const auto& [reason, count] : round_result.reasons)
+    total.reasons[reason] += count;
+  total.answered_latency.merge(round_result.answered_latency);
+  total.refused_latency.merge(round_result.refused_latency);
+  total.elapsed += round_result.elapsed;
 }
 
 json::object latency_json(const eelgrasspin::io::Histogram& latency) {
@@ -155,86 +157,91 @@
       {"refused_latency", latency_json(result.refused_latency)}};
 }
 
-double ratio(Duration above, Duration below) {
-  if (below == Duration(0)) return 0;
-  return static_cast<double>(above.count()) /
-         static_cast<double>(below.count());
+double ratio(Duration numerator, Duration denominator) {
+  if (denominator == Duration(0)) return 0;
+  return static_cast<double>(numerator.count()) /
+         static_cast<double>(denominator.count());
 }
 
-std::optional<LoadOptions> direct_options(const LoadOptions& load,
-                                          const options::variables_map& given) {
-  if (given.count("direct") == 0) return std::nullopt;
+std::optional<LoadOptions> direct_options(
+    const LoadOptions& load, const options::variables_map& values) {
+  if (values.count("direct") == 0) return std::nullopt;
   LoadOptions direct = load;
-  direct.targets = {Endpoint(given["direct"].as<std::string>())};
-  std::size_t end = load.path.find('/', 1);
-  if (given.count("direct-path") > 0) {
-    direct.path = given["direct-path"].as<std::string>();
-  } else if (end != std::string::npos) {
-    direct.path = load.path.substr(end);
+  direct.targets = {Endpoint(values["direct"].as<std::string>())};
+  std::size_t second_slash = load.path.find('/', 1);
+  if (values.count("direct-path") > 0) {
+    direct.path = values["direct-path"].as<std::string>();
+  } else if (second_slash != std::string::npos) {
+    direct.path = load.path.substr(second_slash);
   }
   return direct;
 }
 
-int run(const options::variables_map& given) {
-  LoadOptions load = load_options(given);
-  std::optional<LoadOptions> direct = direct_options(load, given);
-  int pid = given.count("daemon-pid") > 0 ? given["daemon-pid"].as<int>() : 0;
-  LoadResult through;
-  LoadResult straight;
-  double processor = 0;
-  for (int round = 0; round < given["rounds"].as<int>(); ++round) {
-    if (direct) add(straight, eelgrasspin::load::run_load(*direct));
-    double before = pid > 0 ? processor_seconds(pid) : 0;
-    add(through, eelgrasspin::load::run_load(load));
-    if (pid > 0) processor += processor_seconds(pid) - before;
+int run(const options::variables_map& values) {
+  LoadOptions load = load_options(values);
+  std::optional<LoadOptions> direct = direct_options(load, values);
+  int pid = values.count("daemon-pid") > 0 ? values["daemon-pid"].as<int>() : 0;
+  LoadResult via_daemons;
+  LoadResult directly;
+  double used_seconds = 0;
+  for (int round = 0; round < values["rounds"].as<int>(); ++round) {
+    if (direct) add(directly, eelgrasspin::load::run_load(*direct));
+    double used_before = pid > 0 ? processor_seconds(pid) : 0;
+    add(via_daemons, eelgrasspin::load::run_load(load));
+    if (pid > 0) used_seconds += processor_seconds(pid) - used_before;
   }
-  json::object out = {{"rate", load.rate}, {"daemons", to_json(through)}};
+  json::object out = {{"rate", load.rate}, {"daemons", to_json(via_daemons)}};
   if (direct) {
-    out["direct"] = to_json(straight);
+    out["direct"] = to_json(directly);
     out["latency_ratio"] = {
-        {"p50", ratio(through.answered_latency.quantile(0.5),
-                      straight.answered_latency.quantile(0.5))},
-        {"p99", ratio(through.answered_latency.quantile(0.99),
-                      straight.answered_latency.quantile(0.99))}};
+        {"p50", ratio(via_daemons.answered_latency.quantile(0.5),
+                      directly.answered_latency.quantile(0.5))},
+        {"p99", ratio(via_daemons.answered_latency.quantile(0.99),
+                      directly.answered_latency.quantile(0.99))}};
   }
-  if (pid > 0 && through.offered > 0) {
-    double warm = static_cast<double>((load.warm_up + load.duration).count()) /
-                  static_cast<double>(load.duration.count());
+  if (pid > 0 && via_daemons.offered > 0) {
+    // The processor time includes the warm-up, `offered` does not.
+    double warm_up_factor =
+        static_cast<double>((load.warm_up + load.duration).count()) /
+        static_cast<double>(load.duration.count());
     out["processor_us_per_request"] =
-        processor * 1e6 / (static_cast<double>(through.offered) * warm);
+        used_seconds * 1e6 /
+        (static_cast<double>(via_daemons.offered) * warm_up_factor);
   }
   std::cout << json::serialize(out) << std::endl;
-  return through.mismatched + straight.mismatched > 0 ? kExitMismatch : 0;
+  return via_daemons.mismatched + directly.mismatched > 0 ? kExitMismatch : 0;
 }
 
-int usage(const std::string& why, const options::options_description& known) {
-  std::cerr << "eelload: " << why << "\n" << known;
+int usage(const std::string& why,
+          const options::options_description& description) {
+  std::cerr << "eelload: " << why << "\n" << description;
   return kExitUsage;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  options::options_description known = known_options();
-  options::variables_map given;
+  options::options_description description = describe_options();
+  options::variables_map values;
   try {
     options::store(options::command_line_parser(argc, argv)
-                       .options(known)
+                       .options(description)
                        .positional({})
                        .run(),
-                   given);
-  } catch (const options::error& wrong) {
-    return usage(wrong.what(), known);
+                   values);
+  } catch (const options::error& failure) {
+    return usage(failure.what(), description);
   }
-  if (given.count("help") > 0) {
-    std::cout << known;
+  if (values.count("help") > 0) {
+    std::cout << description;
     return 0;
   }
-  if (given.count("target") == 0) return usage("--target is needed", known);
-  for (const auto& target : given["target"].as<std::vector<std::string>>()) {
+  if (values.count("target") == 0)
+    return usage("--target is required", description);
+  for (const auto& target : values["target"].as<std::vector<std::string>>()) {
     if (!eelgrasspin::io::parse_endpoint(Endpoint(target))) {
-      return usage(target + " is not an IP number with a port", known);
+      return usage(target + " is not an IP address with a port", description);
     }
   }
-  return run(given);
+  return run(values);
 }
