--- a/tools/eelscn/main.cc
+++ b/tools/eelscn/main.cc
@@ -14,38 +14,42 @@
 
 constexpr int kExitFailed = 1;
 constexpr int kExitUsage = 2;
-constexpr Duration kOffsets[] = {milliseconds(0), milliseconds(60),
-                                 milliseconds(400)};
+/// From the start of the operation to the fault.
+constexpr Duration kFaultOffsets[] = {milliseconds(0), milliseconds(60),
+                                      milliseconds(400)};
 
-std::variant<Declarations, std::string> read_file(const std::string& path) {
-  std::ifstream in(path);
-  if (!in) return path + ": cannot be read";
+/// The declarations, or text that says what is wrong with the file.
+std::variant<Declarations, std::string> load_declarations(
+    const std::string& path) {
+  std::ifstream file(path);
+  if (!file) return path + ": cannot be read";
   std::ostringstream text;
-  text << in.rdbuf();
+  text << file.rdbuf();
   Checked<Declarations> checked = config::read_declarations(text.str(), path);
-  if (auto* good = std::get_if<Declarations>(&checked)) return *good;
+  if (auto* declarations = std::get_if<Declarations>(&checked))
+    return *declarations;
   std::string findings;
   for (const Finding& finding : std::get<std::vector<Finding>>(checked))
     findings += to_string(finding) + "\n";
   return findings;
 }
 
-struct Sums {
+struct CellCounts {
   int passed = 0;
   int failed = 0;
 };
 
-void run_one(const Declarations& declarations, const scenario::Cell& cell,
-             Sums& sums) {
+void run_and_print_cell(const Declarations& declarations,
+                        const scenario::Cell& cell, CellCounts& cell_counts) {
   scenario::CellResult result = scenario::run_cell(declarations, cell);
-  bool good = result.violations.empty() && result.recovered &&
-              result.command_error.empty();
-  ++(good ? sums.passed : sums.failed);
+  bool cell_passed = result.violations.empty() && result.recovered &&
+                     result.command_error.empty();
+  ++(cell_passed ? cell_counts.passed : cell_counts.failed);
   std::cout << "| " << to_string(cell.operation) << " | "
             << to_string(cell.fault) << " | " << to_ms(cell.offset) << " | "
             << to_ms(result.longest_gap) << " | " << result.totals.answered
             << " | " << result.totals.not_run << " | " << result.totals.unknown
-            << " | " << (good ? "holds" : "RED");
+            << " | " << (cell_passed ? "holds" : "RED");
   if (!result.recovered) std::cout << " not serving at the end;";
   if (!result.command_error.empty())
     std::cout << " refused: " << result.command_error << ";";
@@ -56,11 +60,12 @@
 }
 
 int run_matrix(const Declarations& declarations, std::uint64_t seed,
-               const std::string& only_fault, const std::string& only_step) {
+               const std::string& only_fault,
+               const std::string& only_operation) {
   std::cout << "| operation | fault | after ms | longest gap ms | answered | "
                "not run | unknown | verdict |\n|---|---|---|---|---|---|---|---"
                "|\n";
-  Sums sums;
+  CellCounts cell_counts;
   for (int operation = 0;
        operation < static_cast<int>(scenario::Operation::kCount); ++operation) {
     for (int fault = 0; fault < static_cast<int>(scenario::Fault::kCount);
@@ -70,52 +75,55 @@
           .fault = static_cast<scenario::Fault>(fault),
           .seed = seed};
       if (!only_fault.empty() && to_string(cell.fault) != only_fault) continue;
-      if (!only_step.empty() && to_string(cell.operation) != only_step)
+      if (!only_operation.empty() &&
+          to_string(cell.operation) != only_operation)
         continue;
-      for (Duration offset : kOffsets) {
+      for (Duration offset : kFaultOffsets) {
         cell.offset = offset;
-        run_one(declarations, cell, sums);
+        run_and_print_cell(declarations, cell, cell_counts);
       }
     }
   }
-  std::cout << sums.passed << " passed, " << sums.failed << " failed\n";
-  return sums.failed == 0 ? 0 : kExitFailed;
+  std::cout << cell_counts.passed << " passed, " << cell_counts.failed
+            << " failed\n";
+  return cell_counts.failed == 0 ? 0 : kExitFailed;
 }
 
 int run(int argc, char** argv) {
-  po::options_description options("eelscn matrix [options]");
-  options.add_options()("help", "this text")(
+  po::options_description description("eelscn matrix [options]");
+  description.add_options()("help", "print this help")(
       "declarations", po::value<std::string>()->required(),
-      "declarations to run, INI")(
+      "declarations of the deployment (INI file)")(
       "seed", po::value<std::uint64_t>()->default_value(1), "random seed")(
-      "fault", po::value<std::string>()->default_value(""), "only this fault")(
+      "fault", po::value<std::string>()->default_value(""),
+      "run only this fault")(
       "step", po::value<std::string>()->default_value(""),
-      "only this operation")("mode", po::value<std::string>(), "matrix");
+      "run only this operation")("mode", po::value<std::string>(), "matrix");
   po::positional_options_description positions;
   positions.add("mode", 1);
   po::variables_map values;
   po::store(po::command_line_parser(argc, argv)
-                .options(options)
+                .options(description)
                 .positional(positions)
                 .run(),
             values);
   if (values.count("help") != 0) {
-    std::cout << options;
+    std::cout << description;
     return 0;
   }
   po::notify(values);
   if (values.count("mode") == 0 ||
       values["mode"].as<std::string>() != "matrix") {
-    std::cerr << "eelscn: expected: matrix\n" << options;
+    std::cerr << "eelscn: expected: matrix\n" << description;
     return kExitUsage;
   }
-  auto read = read_file(values["declarations"].as<std::string>());
-  if (const auto* wrong = std::get_if<std::string>(&read)) {
-    std::cerr << *wrong << "\n";
+  auto loaded = load_declarations(values["declarations"].as<std::string>());
+  if (const auto* problem = std::get_if<std::string>(&loaded)) {
+    std::cerr << *problem << "\n";
     return kExitUsage;
   }
   return run_matrix(
-      std::get<Declarations>(read), values["seed"].as<std::uint64_t>(),
+      std::get<Declarations>(loaded), values["seed"].as<std::uint64_t>(),
       values["fault"].as<std::string>(), values["step"].as<std::string>());
 }
 
@@ -124,8 +132,8 @@
 int main(int argc, char** argv) {
   try {
     return run(argc, argv);
-  } catch (const std::exception& wrong) {
-    std::cerr << "eelscn: " << wrong.what() << "\n";
+  } catch (const std::exception& failure) {
+    std::cerr << "eelscn: " << failure.what() << "\n";
     return kExitUsage;
   }
 }
