--- a/src/ctl/declarations.cc
+++ b/src/ctl/declarations.cc
@@ -82,8 +82,8 @@
   return failure.code;
 }
 
-/// For a change whose answer was lost: reads the declarations again, and returns
-/// success if their text is that of the file.
+/// For a change whose answer was lost: reads the declarations again, and
+/// returns success if their text is that of the file.
 Answer resolve_lost_answer(Client& client, const CheckedFile& proposed,
                            const Failure& lost) {
   auto refetched = client.fetch_declarations();
