--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -38,7 +38,7 @@
 bool can_wait_for(const Command& command) { return !lang::is_query(command); }
 
 /// Names that can replace a placeholder such as "<server>", from a daemon.
-/// Empty if no daemon answers.
+/// Empty if there are none or no daemon answers.
 std::vector<std::string> fetch_names(Client& client,
                                      const std::string& placeholder) {
   std::string query;
--- a/src/ctl/options.cc
+++ b/src/ctl/options.cc
@@ -29,7 +29,7 @@
     "EELCTL_DAEMON, EELCTL_OPERATOR and EELCTL_TOKEN give the defaults of the\n"
     "options of the same names.\n";
 
-/// Options that need conversion.
+/// Options as given, before their conversion.
 struct RawOptions {
   std::vector<std::string> daemons;
   std::string wait_limit;
--- a/src/ctl/options.h
+++ b/src/ctl/options.h
@@ -18,7 +18,7 @@
   bool json = false;
   bool wait = false;
   Duration wait_limit = minutes(10);
-  std::optional<Version> base_version;  ///< That apply expects to replace.
+  std::optional<Version> base_version;  ///< Version that apply replaces.
   std::string html_file;                ///< File for the HTML page of a report.
   std::vector<std::string> words;       ///< Of the command.
 };
--- a/src/ctl/wait.h
+++ b/src/ctl/wait.h
@@ -8,7 +8,7 @@
 
 /// Polls until an accepted command is finished: a move done, a drained server
 /// without slots, a closure sealed. Progress goes to the standard error.
-/// Returns the exit status: kUnknownOutcome after `timeout`.
+/// Returns the exit status, kUnknownOutcome if `timeout` passes first.
 int wait_until_finished(Client& client, const Command& command,
                         const CommandId& id, Duration timeout);
 
--- a/tools/eelload/load.h
+++ b/tools/eelload/load.h
@@ -56,10 +56,9 @@
   std::uint64_t answered = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
-  std::uint64_t failed = 0;  ///< No answer, or one without an outcome.
-  std::uint64_t mismatched =
-      0;                       ///< Status 200 without the echo of its request.
-  std::uint64_t repeated = 0;  ///< Sent again after a refusal.
+  std::uint64_t failed = 0;      ///< No answer, or one without an outcome.
+  std::uint64_t mismatched = 0;  ///< Status 200 without the right echo.
+  std::uint64_t repeated = 0;    ///< Sent again after a refusal.
   /// Requests that were not answered, by reason.
   std::map<std::string, std::uint64_t> reasons;
   io::Histogram answered_latency;  ///< From the scheduled start of a request.
