--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -5,7 +5,7 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-/// Magarini weighs unavailable time most, OCSA churn.
+/// Magarini weighs unavailable time most, OCSA weighs churn most.
 constexpr PlacementWeights kMagarini{
     .imbalance = 1, .churn = 1, .unavailable = 4, .moves_per_minute = 64};
 constexpr PlacementWeights kOcsa{
@@ -14,16 +14,17 @@
 void BM_Placement(benchmark::State& state) {
   auto policy = static_cast<PlacementPolicy>(state.range(0));
   bool magarini = state.range(1) == 0;
-  PlacementLoad load{.servers = magarini ? 15U : 12U,
-                     .concurrency = magarini ? 2U : 4U};
+  PlacementWorkload workload{.servers = magarini ? 15U : 12U,
+                             .concurrency = magarini ? 2U : 4U};
   PlacementOutcome outcome;
   for (auto _ : state)
-    outcome = compare(policy, load, magarini ? kMagarini : kOcsa);
-  state.counters["peak"] = outcome.peak_level;
+    outcome =
+        simulate_placement(policy, workload, magarini ? kMagarini : kOcsa);
+  state.counters["peak"] = outcome.peak_load_ratio;
   state.counters["imbalance"] = outcome.imbalance;
-  state.counters["slots/min"] = outcome.churn_slots;
-  state.counters["keys/min"] = outcome.churn_keys;
-  state.counters["unavail_s/min"] = outcome.unavailable;
+  state.counters["slots/min"] = outcome.slot_moves_per_minute;
+  state.counters["keys/min"] = outcome.key_moves_per_minute;
+  state.counters["unavail_s/min"] = outcome.unavailable_seconds_per_minute;
 }
 
 BENCHMARK(BM_Placement)
--- a/bench/reducer_bench.cc
+++ b/bench/reducer_bench.cc
@@ -7,29 +7,32 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-Declarations sized(int zones, int servers_per_zone, std::uint32_t slots) {
-  Declarations all;
+Declarations make_declarations(int zones, int servers_per_zone,
+                               std::uint32_t slots) {
+  Declarations declarations;
   ServiceName service("panboard");
-  all.services[service] = {.name = service, .key_slots = slots};
-  all.services[service].operations = {
+  declarations.services[service] = {.name = service, .key_slots = slots};
+  declarations.services[service].operations = {
       {"reading", "PUT", "/pans/{key}", ExecutionClass::kIdempotent}};
   for (int zone = 0; zone < zones; ++zone) {
     ZoneName name("zone-" + std::to_string(zone));
-    all.zones[name] = {name, RegionName("kilifi")};
+    declarations.zones[name] = {name, RegionName("kilifi")};
     for (int i = 0; i < servers_per_zone; ++i) {
       ServerName server(name.str() + "-s" + std::to_string(i));
-      all.servers[server] = {.name = server, .service = service, .zone = name};
-      all.servers[server].address = Endpoint(server.str());
+      declarations.servers[server] = {
+          .name = server, .service = service, .zone = name};
+      declarations.servers[server].address = Endpoint(server.str());
     }
   }
-  return all;
+  return declarations;
 }
 
-/// Cost of a tick of a daemon that coordinates its zone.
+/// Cost of a tick of the daemon that coordinates its zone.
 void BM_CoordinatorTick(benchmark::State& state) {
   World world = start_deployment(
-      sized(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)),
-            static_cast<std::uint32_t>(state.range(2))),
+      make_declarations(static_cast<int>(state.range(0)),
+                        static_cast<int>(state.range(1)),
+                        static_cast<std::uint32_t>(state.range(2))),
       1);
   Daemon& daemon = world.daemons.at(DaemonName("zone-0-1"));
   Now now = now_of(world, daemon);
@@ -42,8 +45,9 @@
 /// Cost of a caller's request that is forwarded or queued, then cancelled.
 void BM_Request(benchmark::State& state) {
   World world = start_deployment(
-      sized(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)),
-            static_cast<std::uint32_t>(state.range(2))),
+      make_declarations(static_cast<int>(state.range(0)),
+                        static_cast<int>(state.range(1)),
+                        static_cast<std::uint32_t>(state.range(2))),
       1);
   Daemon& daemon = world.daemons.at(DaemonName("zone-0-1"));
   Now now = now_of(world, daemon);
@@ -62,7 +66,7 @@
   }
 }
 
-// zones, servers a zone, key slots
+/// Arguments: zones, servers per zone, key slots.
 void sizes(benchmark::internal::Benchmark* bench) {
   bench->Args({2, 4, 256})->Args({2, 16, 256})->Args({2, 64, 256});
   bench->Args({2, 4, 1024})->Args({2, 4, 4096})->Args({2, 4, 16384});
--- a/src/scenario/checks.cc
+++ b/src/scenario/checks.cc
@@ -14,8 +14,8 @@
          slot.phase == SlotPhase::kReleasing;
 }
 
-/// Epoch under which the owner of a slot holds it; that of a slot on the move
-/// is its target's.
+/// Epoch under which the owner holds a slot. The record of a slot that moves or
+/// is being released already has the next epoch.
 Epoch held_epoch(const SlotRecord& slot) {
   bool leaving =
       slot.phase == SlotPhase::kMoving || slot.phase == SlotPhase::kReleasing;
@@ -28,11 +28,11 @@
     auto earlier = before.slots.find(slot);
     if (earlier == before.slots.end()) continue;
     if (record.epoch < earlier->second.epoch)
-      violate(world, "the epoch of a slot went down");
+      add_violation(world, "the epoch of a slot regressed");
     if (has_owner(record) && has_owner(earlier->second) &&
         record.owner != earlier->second.owner &&
         held_epoch(record) <= held_epoch(earlier->second)) {
-      violate(world, "a slot changed owner under the same epoch");
+      add_violation(world, "a slot changed owner under the same epoch");
     }
   }
 }
@@ -42,53 +42,54 @@
     if (zone == map.zone) continue;
     auto it = world.store.entries.find(ownership_map_key(map.service, zone));
     if (it == world.store.entries.end()) continue;
-    const auto* other = std::get_if<OwnershipMap>(&it->second.record);
-    if (other == nullptr) continue;
+    const auto* other_map = std::get_if<OwnershipMap>(&it->second.record);
+    if (other_map == nullptr) continue;
     for (const auto& [slot, record] : map.slots) {
-      auto there = other->slots.find(slot);
-      if (there != other->slots.end() && has_owner(record) &&
-          has_owner(there->second)) {
-        violate(world, "slot " + std::to_string(slot.value) +
-                           " has owners in two zones");
+      auto other_slot = other_map->slots.find(slot);
+      if (other_slot != other_map->slots.end() && has_owner(record) &&
+          has_owner(other_slot->second)) {
+        add_violation(world, "slot " + std::to_string(slot.value) +
+                                 " has owners in two zones");
         return;
       }
     }
   }
 }
 
-void check_ends(World& world) {
+void check_request_ends(World& world) {
   for (const auto& [serial, request] : world.requests) {
-    if (request.ends > 1)
-      violate(world,
-              "request " + std::to_string(serial) + " ended more than once");
-    if (request.outcome == Outcome::kAnswered && request.answer_of != serial) {
-      violate(world, "request " + std::to_string(serial) +
-                         " was given another's answer");
+    if (request.end_count > 1)
+      add_violation(
+          world, "request " + std::to_string(serial) + " ended more than once");
+    if (request.outcome == Outcome::kAnswered &&
+        request.answered_serial != serial) {
+      add_violation(world, "request " + std::to_string(serial) +
+                               " received the answer of another request");
     }
   }
 }
 
 void check_executions(World& world) {
   std::map<RequestSerial, std::uint32_t> runs;
-  std::map<std::string, std::uint32_t> by_idempotency_key;
+  std::map<std::string, std::uint32_t> executions_by_key;
   for (const Execution& execution : world.executions) {
     ++runs[execution.serial];
     const CallerRequest& request = world.requests.at(execution.serial);
     if (request.execution_class == ExecutionClass::kAtMostOnce)
-      ++by_idempotency_key[request.head.idempotency_key];
+      ++executions_by_key[request.head.idempotency_key];
   }
   for (const auto& [serial, count] : runs) {
     const CallerRequest& request = world.requests.at(serial);
     if (request.outcome == Outcome::kNotRun) {
-      violate(world, "request " + std::to_string(serial) +
-                         " was told not run (" +
-                         std::string(to_string(request.reason)) + ") but ran");
+      add_violation(
+          world, "request " + std::to_string(serial) + " was told not run (" +
+                     std::string(to_string(request.reason)) + ") but ran");
     }
   }
-  for (const auto& [key, count] : by_idempotency_key) {
+  for (const auto& [key, count] : executions_by_key) {
     if (count > 1)
-      violate(world, "at-most-once operation " + key + " ran " +
-                         std::to_string(count) + " times");
+      add_violation(world, "at-most-once operation " + key + " ran " +
+                               std::to_string(count) + " times");
   }
 }
 
@@ -97,7 +98,7 @@
 void check_ownership_write(World& world, const StoreEntry& entry) {
   const auto* map = std::get_if<OwnershipMap>(&entry.record);
   if (map == nullptr) return;
-  OwnershipMap& before = world.last_maps[entry.key];
+  OwnershipMap& before = world.last_written_maps[entry.key];
   check_epochs(world, before, *map);
   check_zones(world, *map);
   before = *map;
@@ -108,11 +109,11 @@
       world.servers.at(execution.server).declaration.service;
   const Duration limit =
       world.declarations.services.at(service).execution_limit;
-  auto& last = world.last_execution[{service, execution.key}];
-  if (last.epoch > execution.epoch) {
-    violate(world, "key " + execution.key.str() +
-                       " ran under an older epoch on " +
-                       execution.server.str());
+  auto& last_execution = world.last_executions[{service, execution.key}];
+  if (last_execution.epoch > execution.epoch) {
+    add_violation(world, "key " + execution.key.str() +
+                             " ran under an older epoch on " +
+                             execution.server.str());
   }
   for (const auto& [name, server] : world.servers) {
     if (name == execution.server || server.declaration.service != service)
@@ -121,63 +122,65 @@
       const Execution& other = world.executions[running.execution];
       if (other.key != execution.key || world.now > other.start + limit)
         continue;
-      violate(world, "key " + execution.key.str() + " runs on " + name.str() +
-                         " and " + execution.server.str());
+      add_violation(world, "key " + execution.key.str() + " runs on " +
+                               name.str() + " and " + execution.server.str());
     }
   }
-  if (last.epoch == execution.epoch && !last.server.empty() &&
-      last.server != execution.server) {
-    violate(world, "key " + execution.key.str() +
-                       " ran on two servers under one epoch");
+  if (last_execution.epoch == execution.epoch &&
+      !last_execution.server.empty() &&
+      last_execution.server != execution.server) {
+    add_violation(world, "key " + execution.key.str() +
+                             " ran on two servers under one epoch");
   }
-  last = {execution.epoch, execution.server};
+  last_execution = {execution.epoch, execution.server};
 }
 
 void check_caches(World& world, Daemon& daemon) {
   Version version = core::version_of(daemon.state.cache, declarations_key());
-  if (version < daemon.declarations_seen)
-    violate(world, "declarations went back on " + daemon.state.self.name.str());
-  daemon.declarations_seen = version;
+  if (version < daemon.last_declarations_version)
+    add_violation(world,
+                  "declarations regressed on " + daemon.state.self.name.str());
+  daemon.last_declarations_version = version;
 }
 
 std::vector<std::string> check_run(World& world) {
-  check_ends(world);
+  check_request_ends(world);
   check_executions(world);
   return {world.violations.begin(), world.violations.end()};
 }
 
 Duration longest_gap(const World& world, const ServiceName& service,
                      Duration from) {
-  std::map<Key, Duration> last;
+  std::map<Key, Duration> last_answered;
   Duration longest{0};
   for (const auto& [serial, request] : world.requests) {
     if (request.head.service != service || request.sent < from) continue;
     Key key(request.head.path);
-    auto [it, fresh] = last.emplace(key, request.sent);
+    auto [it, inserted] = last_answered.emplace(key, request.sent);
     if (request.outcome != Outcome::kAnswered) continue;
     longest = std::max(longest, request.ended - it->second);
     it->second = std::max(it->second, request.ended);
   }
-  for (const auto& [key, since] : last)
+  for (const auto& [key, since] : last_answered)
     longest = std::max(longest, world.now - since);
   return longest;
 }
 
-OutcomeTotals totals(const World& world) {
-  OutcomeTotals sums;
+OutcomeTotals count_outcomes(const World& world) {
+  OutcomeTotals totals;
   for (const auto& [serial, request] : world.requests) {
-    ++sums.sent;
+    ++totals.sent;
     if (!request.outcome) {
-      ++sums.open;
+      ++totals.open;
     } else if (*request.outcome == Outcome::kAnswered) {
-      ++sums.answered;
+      ++totals.answered;
     } else if (*request.outcome == Outcome::kNotRun) {
-      ++sums.not_run;
+      ++totals.not_run;
     } else {
-      ++sums.unknown;
+      ++totals.unknown;
     }
   }
-  return sums;
+  return totals;
 }
 
 }  // namespace eelgrasspin::scenario
--- a/src/scenario/checks.h
+++ b/src/scenario/checks.h
@@ -8,12 +8,12 @@
 
 namespace eelgrasspin::scenario {
 
-/// Checks that need the whole run: what was told to callers against what the
-/// servers did. Adds to world.violations and returns all of them.
+/// Checks that need the whole run: compares the outcomes that callers received
+/// with what the servers executed. Adds to world.violations and returns all.
 std::vector<std::string> check_run(World& world);
 
-/// Longest time that a key of `service` was without an answered request, over
-/// the probes sent from `from` on.
+/// Longest time during which no request for a key of `service` was answered,
+/// among the requests sent since `from`.
 Duration longest_gap(const World& world, const ServiceName& service,
                      Duration from);
 
@@ -22,9 +22,9 @@
   std::uint64_t answered = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
-  std::uint64_t open = 0;  ///< No end was seen.
+  std::uint64_t open = 0;  ///< The caller received no end.
 };
-OutcomeTotals totals(const World& world);
+OutcomeTotals count_outcomes(const World& world);
 
 }  // namespace eelgrasspin::scenario
 
--- a/src/scenario/matrix.cc
+++ b/src/scenario/matrix.cc
@@ -7,11 +7,13 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-constexpr Duration kStartTime = seconds(12);
-constexpr Duration kFaultTime = seconds(6);
-constexpr Duration kRepairTime = seconds(25);
+constexpr Duration kStartupDuration = seconds(12);
+/// From the fault to its repair.
+constexpr Duration kFaultDuration = seconds(6);
+/// From the repair to the check that every key is served.
+constexpr Duration kRecoveryDuration = seconds(25);
 constexpr Duration kProbeInterval = milliseconds(100);
-constexpr int kProbeKeys = 8;
+constexpr int kProbeKeyCount = 8;
 const OperatorName kOperator("operator");
 
 std::string path_of(const eelgrasspin::Operation& operation, int key) {
@@ -20,54 +22,58 @@
   return path;
 }
 
-DaemonName live_daemon(const World& world, std::uint64_t number) {
+/// A daemon that is up and not cut off from the store; `number` varies the
+/// choice.
+DaemonName serving_daemon(const World& world, std::uint64_t number) {
   for (std::size_t i = 0; i < world.daemons.size(); ++i) {
     auto it = world.daemons.begin();
     std::advance(it, (number + i) % world.daemons.size());
-    bool serves = it->second.alive && !it->second.paused &&
-                  !it->second.state.stopping &&
-                  !world.cut_from_store.contains(it->second.state.self.zone);
+    bool serves =
+        it->second.alive && !it->second.paused && !it->second.state.stopping &&
+        !world.zones_cut_from_store.contains(it->second.state.self.zone);
     if (serves) return it->first;
   }
   return world.daemons.begin()->first;
 }
 
-/// Sends one request of each declared operation for the next key, again and
-/// again, through daemons that are up.
-void probe(World& world, std::uint64_t round) {
+/// Sends one request of each declared operation through a daemon that is up,
+/// and schedules the next round, for the next key.
+void send_probes(World& world, std::uint64_t round) {
   for (const auto& [name, service] : world.declarations.services) {
     for (const auto& operation : service.operations) {
       RequestHead head;
       head.service = name;
       head.method = operation.method;
-      head.path = path_of(operation, static_cast<int>(round % kProbeKeys));
+      head.path = path_of(operation, static_cast<int>(round % kProbeKeyCount));
       head.caller = CallerName("prober");
       head.idempotency_key =
           name.str() + "-" + operation.name + "-" + std::to_string(round);
       head.body_hash = round;
       RequestSerial serial =
-          send_request(world, live_daemon(world, round), head);
+          send_request(world, serving_daemon(world, round), head);
       world.requests.at(serial).execution_class = operation.execution_class;
     }
   }
   schedule(world, kProbeInterval,
-           [round](World& later) { probe(later, round + 1); });
+           [round](World& later) { send_probes(later, round + 1); });
 }
 
-const ServerDeclaration& first_server(const World& world, std::size_t nth) {
+/// The declared server at position `nth`, modulo the number of servers.
+const ServerDeclaration& nth_server(const World& world, std::size_t nth) {
   auto it = world.declarations.servers.begin();
   std::advance(it, nth % world.declarations.servers.size());
   return it->second;
 }
 
-void order(World& world, const std::string& id, Command command) {
-  send_command(world, live_daemon(world, 1), kOperator, CommandId(id),
+void send_operator_command(World& world, const std::string& id,
+                           Command command) {
+  send_command(world, serving_daemon(world, 1), kOperator, CommandId(id),
                std::move(command));
 }
 
 /// Moves a slot of the first server to another server of its zone.
-void order_move(World& world) {
-  const ServerDeclaration& from = first_server(world, 0);
+void command_move(World& world) {
+  const ServerDeclaration& from = nth_server(world, 0);
   auto it =
       world.store.entries.find(ownership_map_key(from.service, from.zone));
   if (it == world.store.entries.end()) return;
@@ -78,31 +84,34 @@
     for (const auto& [name, server] : world.declarations.servers) {
       if (name == from.name || server.zone != from.zone) continue;
       if (server.service != from.service) continue;
-      order(world, "move",
-            MoveCommand{.service = from.service, .slot = slot, .server = name});
+      send_operator_command(
+          world, "move",
+          MoveCommand{.service = from.service, .slot = slot, .server = name});
       return;
     }
   }
 }
 
 void start_operation(World& world, Operation operation) {
-  const ServerDeclaration& server = first_server(world, 0);
+  const ServerDeclaration& server = nth_server(world, 0);
   switch (operation) {
     case Operation::kMove:
-      order_move(world);
+      command_move(world);
       return;
     case Operation::kDrain:
-      order(world, "drain", DrainCommand{.server = server.name});
+      send_operator_command(world, "drain",
+                            DrainCommand{.server = server.name});
       return;
     case Operation::kClose:
-      order(world, "close",
-            CloseCommand{.service = server.service, .deadline = seconds(20)});
+      send_operator_command(
+          world, "close",
+          CloseCommand{.service = server.service, .deadline = seconds(20)});
       return;
     case Operation::kServerLoss:
       crash_server(world, server.name);
       return;
     case Operation::kDaemonStop:
-      stop_daemon(world, live_daemon(world, 0));
+      stop_daemon(world, serving_daemon(world, 0));
       return;
     case Operation::kNone:
     case Operation::kCount:
@@ -116,8 +125,8 @@
   return std::get<CoordinatorLease>(it->second.record).holder;
 }
 
-void inject(World& world, Fault fault) {
-  const ServerDeclaration& server = first_server(world, 1);
+void inject_fault(World& world, Fault fault) {
+  const ServerDeclaration& server = nth_server(world, 1);
   DaemonName coordinator = coordinator_of(world, server.zone);
   switch (fault) {
     case Fault::kKillCoordinator:
@@ -126,8 +135,8 @@
     case Fault::kPauseCoordinator:
       pause_daemon(world, coordinator);
       return;
-    case Fault::kKillOther:
-      kill_daemon(world, live_daemon(world, 1));
+    case Fault::kKillDaemon:
+      kill_daemon(world, serving_daemon(world, 1));
       return;
     case Fault::kStoreDown:
       store_down(world);
@@ -160,7 +169,8 @@
   }
 }
 
-void repair(World& world) {
+/// Ends the faults and restarts what is down. Clock jumps stay.
+void repair_all(World& world) {
   store_up(world);
   heal_network(world);
   world.message_faults = {};
@@ -177,20 +187,21 @@
   }
 }
 
-/// Whether each key of each open service was answered in the last seconds.
+/// Whether each path requested from 4 s to 2 s ago got an answer, or a refusal
+/// because its service is closed.
 bool is_serving(const World& world) {
-  std::map<std::pair<ServiceName, std::string>, bool> served;
+  std::map<std::pair<ServiceName, std::string>, bool> answered_paths;
   for (const auto& [serial, request] : world.requests) {
     if (request.sent < world.now - seconds(4)) continue;
     if (request.sent > world.now - seconds(2)) continue;
     bool answered = request.outcome == Outcome::kAnswered ||
                     request.reason == Reason::kServiceClosed;
-    served[{request.head.service, request.head.path}] |= answered;
+    answered_paths[{request.head.service, request.head.path}] |= answered;
   }
-  for (const auto& [key, answered] : served) {
+  for (const auto& [key, answered] : answered_paths) {
     if (!answered) return false;
   }
-  return !served.empty();
+  return !answered_paths.empty();
 }
 
 }  // namespace
@@ -228,32 +239,32 @@
       start_daemon(world, name);
     }
   }
-  run_for(world, kStartTime);
+  run_for(world, kStartupDuration);
   return world;
 }
 
-void probe_always(World& world) { probe(world, 1); }
+void start_probing(World& world) { send_probes(world, 1); }
 
 CellResult run_cell(const Declarations& declarations, const Cell& cell) {
   World world = start_deployment(declarations, cell.seed);
-  probe(world, 1);
+  send_probes(world, 1);
   run_for(world, seconds(1));
   Duration from = world.now;
   start_operation(world, cell.operation);
   run_for(world, cell.offset);
-  inject(world, cell.fault);
-  run_for(world, kFaultTime);
+  inject_fault(world, cell.fault);
+  run_for(world, kFaultDuration);
   CellResult result;
   result.longest_gap =
       longest_gap(world, declarations.services.begin()->first, from);
-  repair(world);
-  run_for(world, kRepairTime);
+  repair_all(world);
+  run_for(world, kRecoveryDuration);
   result.recovered = is_serving(world);
   for (const auto& [call, answer] : world.operator_answers) {
     if (answer.error) result.command_error = answer.error->message;
   }
   result.violations = check_run(world);
-  result.totals = totals(world);
+  result.totals = count_outcomes(world);
   return result;
 }
 
--- a/src/scenario/matrix.h
+++ b/src/scenario/matrix.h
@@ -9,9 +9,12 @@
 #include "scenario/checks.h"
 #include "scenario/world.h"
 
-/// Every fault at several moments of every operation, on virtual time.
+/// The fault matrix: each fault at several moments of each operation, on
+/// virtual time.
 namespace eelgrasspin::scenario {
 
+/// What the deployment does when the fault occurs; not an operation of a
+/// service.
 enum class Operation : std::uint8_t {
   kNone,
   kMove,
@@ -26,7 +29,7 @@
   kNone,
   kKillCoordinator,
   kPauseCoordinator,
-  kKillOther,
+  kKillDaemon,
   kStoreDown,
   kLostAnswers,
   kZoneCut,
@@ -41,6 +44,7 @@
 std::string_view to_string(Operation operation);
 std::string_view to_string(Fault fault);
 
+/// One run of the matrix.
 struct Cell {
   Operation operation = Operation::kNone;
   Fault fault = Fault::kNone;
@@ -51,16 +55,19 @@
 struct CellResult {
   std::vector<std::string> violations;
   OutcomeTotals totals;
-  Duration longest_gap{0};    ///< Without an answer, of one key, from a caller.
-  std::string command_error;  ///< Why the operation's order was refused.
-  bool recovered = false;     ///< Every key was answered at the end.
+  /// Longest time during which no request for a key of the first service was
+  /// answered, before the repair.
+  Duration longest_gap{0};
+  std::string command_error;  ///< Why the operator's command was refused.
+  bool recovered = false;     ///< Requests for every key succeed at the end.
 };
 
-/// Two daemons a zone, named <zone>-1 and <zone>-2, all slots owned.
+/// Starts two daemons per zone, named <zone>-1 and <zone>-2, and waits until
+/// the slots have owners.
 World start_deployment(const Declarations& declarations, std::uint64_t seed);
 
-/// Sends requests for a few keys of each operation from now on.
-void probe_always(World& world);
+/// Sends requests of each declared operation at a fixed interval from now on.
+void start_probing(World& world);
 
 CellResult run_cell(const Declarations& declarations, const Cell& cell);
 
--- a/src/scenario/world.cc
+++ b/src/scenario/world.cc
@@ -7,7 +7,8 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-constexpr WallTime kWorldEpoch{seconds(1'700'000'000)};
+/// Wall-clock time at which the virtual time is 0.
+constexpr WallTime kStartWallTime{seconds(1'700'000'000)};
 
 RegionName region_of(const World& world, const ZoneName& zone) {
   auto it = world.declarations.zones.find(zone);
@@ -23,7 +24,9 @@
            [name, generation](World& w) { tick(w, name, generation); });
 }
 
-void lose_open_requests(World& world, Daemon& daemon) {
+/// Ends the requests that other daemons forwarded to this one, and cancels
+/// message it sent to servers and daemons.
+void fail_open_requests(World& world, Daemon& daemon) {
   for (const auto& [request, origin] : daemon.origins) {
     end_attempt(world, origin.daemon, origin.generation, origin.request,
                 origin.attempt, AttemptUnknown{Reason::kConnectionLost, false},
@@ -31,13 +34,13 @@
   }
   for (const auto& [attempt, forward] : daemon.forwards)
     cancel_forward(world, forward, daemon.state.self.zone);
-  for (const auto& [attempt, server] : daemon.at_servers)
-    server_cancel(world, server, daemon.state.self.name, attempt);
+  for (const auto& [attempt, server] : daemon.server_attempts)
+    cancel_on_server(world, server, daemon.state.self.name, attempt);
   daemon.origins.clear();
-  daemon.answers.clear();
-  daemon.serials.clear();
+  daemon.answered_serials.clear();
+  daemon.request_serials.clear();
   daemon.forwards.clear();
-  daemon.at_servers.clear();
+  daemon.server_attempts.clear();
 }
 
 }  // namespace
@@ -54,14 +57,15 @@
 }
 
 void schedule(World& world, Duration delay, Action action) {
-  world.queue.push({world.now + delay, world.next_order++, std::move(action)});
+  world.queue.push(
+      {world.now + delay, world.next_sequence++, std::move(action)});
 }
 
 void run_until(World& world, Duration until) {
-  while (!world.queue.empty() && world.queue.top().at <= until) {
+  while (!world.queue.empty() && world.queue.top().due_at <= until) {
     ScheduledAction next = world.queue.top();
     world.queue.pop();
-    world.now = next.at;
+    world.now = next.due_at;
     next.action(world);
   }
   world.now = until;
@@ -79,11 +83,11 @@
 }
 
 bool reachable(const World& world, const ZoneName& from, const ZoneName& to) {
-  return !world.cut.contains({from, to});
+  return !world.cut_links.contains({from, to});
 }
 
-void violate(World& world, const std::string& what) {
-  world.violations.insert(what + " at " + std::to_string(to_ms(world.now)) +
+void add_violation(World& world, const std::string& message) {
+  world.violations.insert(message + " at " + std::to_string(to_ms(world.now)) +
                           "ms");
 }
 
@@ -104,22 +108,22 @@
 
 void start_daemon(World& world, const DaemonName& name) {
   Daemon& daemon = world.daemons.at(name);
-  core::State fresh;
-  fresh.guards = daemon.state.guards;
-  fresh.self = daemon.state.self;
-  fresh.self.seeds.clear();
+  core::State initial_state;
+  initial_state.guards = daemon.state.guards;
+  initial_state.self = daemon.state.self;
+  initial_state.self.seeds.clear();
   for (const auto& [other, unused] : world.daemons) {
-    if (other != name) fresh.self.seeds.push_back(endpoint_of(other));
+    if (other != name) initial_state.self.seeds.push_back(endpoint_of(other));
   }
-  daemon.state = std::move(fresh);
+  daemon.state = std::move(initial_state);
   daemon.alive = true;
   daemon.paused = false;
-  daemon.inbox.clear();
-  daemon.declarations_seen = Version(0);
+  daemon.deferred_events.clear();
+  daemon.last_declarations_version = Version(0);
   std::uint64_t generation = ++daemon.generation;
   world.vms[name.str()] = VmState::kLive;
   deliver(world, name, generation,
-          core::Started{Incarnation(++world.incarnations)});
+          core::Started{Incarnation(++world.last_incarnation)});
   schedule(world, config::kTickInterval,
            [name, generation](World& w) { tick(w, name, generation); });
 }
@@ -129,7 +133,7 @@
   if (!daemon.alive) return;
   daemon.alive = false;
   ++daemon.generation;
-  lose_open_requests(world, daemon);
+  fail_open_requests(world, daemon);
   schedule(world, world.vm_list_lag,
            [name, generation = daemon.generation](World& w) {
              if (w.daemons.at(name).generation == generation)
@@ -145,9 +149,9 @@
   Daemon& daemon = world.daemons.at(name);
   if (!daemon.paused) return;
   daemon.paused = false;
-  std::deque<core::Event> inbox = std::move(daemon.inbox);
-  daemon.inbox.clear();
-  for (const core::Event& event : inbox)
+  std::deque<core::Event> deferred_events = std::move(daemon.deferred_events);
+  daemon.deferred_events.clear();
+  for (const core::Event& event : deferred_events)
     deliver(world, name, daemon.generation, event);
 }
 
@@ -156,7 +160,8 @@
 }
 
 Now now_of(const World& world, const Daemon& daemon) {
-  return {TimePoint(world.now + daemon.clock_offset), kWorldEpoch + world.now};
+  return {TimePoint(world.now + daemon.clock_offset),
+          kStartWallTime + world.now};
 }
 
 void deliver(World& world, const DaemonName& name, std::uint64_t generation,
@@ -164,17 +169,18 @@
   Daemon& daemon = world.daemons.at(name);
   if (!daemon.alive || daemon.generation != generation) return;
   if (daemon.paused) {
-    daemon.inbox.push_back(event);
+    daemon.deferred_events.push_back(event);
     return;
   }
   core::Effects effects =
       core::reduce(daemon.state, event, now_of(world, daemon));
   check_caches(world, daemon);
-  for (const core::Effect& effect : effects) execute(world, name, effect);
+  for (const core::Effect& effect : effects)
+    execute_effect(world, name, effect);
 }
 
 void cut_zones(World& world, const ZoneName& from, const ZoneName& to) {
-  world.cut.insert({from, to});
+  world.cut_links.insert({from, to});
 }
 
 void isolate_zone(World& world, const ZoneName& zone) {
@@ -183,12 +189,12 @@
     cut_zones(world, zone, other);
     cut_zones(world, other, zone);
   }
-  world.cut_from_store.insert(zone);
+  world.zones_cut_from_store.insert(zone);
 }
 
 void heal_network(World& world) {
-  world.cut.clear();
-  world.cut_from_store.clear();
+  world.cut_links.clear();
+  world.zones_cut_from_store.clear();
 }
 
 RequestSerial send_request(World& world, const DaemonName& entry,
@@ -208,12 +214,12 @@
     }
   }
   std::uint64_t generation = world.daemons.at(entry).generation;
-  schedule(world, world.latencies.clients,
+  schedule(world, world.latencies.caller_to_daemon,
            [entry, generation, serial, head](World& w) {
              Daemon& daemon = w.daemons.at(entry);
              if (!daemon.alive || daemon.generation != generation) return;
              RequestId id(daemon.next_request++);
-             daemon.serials[id] = serial;
+             daemon.request_serials[id] = serial;
              deliver(w, entry, generation,
                      core::RequestArrived{id, head, FromCaller{}});
            });
@@ -234,7 +240,7 @@
 }
 
 bool store_reachable(const World& world, const ZoneName& zone) {
-  return !world.store.down && !world.cut_from_store.contains(zone);
+  return !world.store.down && !world.zones_cut_from_store.contains(zone);
 }
 
 }  // namespace eelgrasspin::scenario
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -15,20 +15,22 @@
 #include "core/reducer.h"
 #include "eelgrasspin/declarations.h"
 
-/// Daemons' reducers on virtual time, with small fakes at the interfaces and
-/// checks of the promises.
+/// A simulated deployment on virtual time: the reducers of real daemons, with
+/// fakes for the network, the store and the backend servers. Breaches of the
+/// guarantees are collected in World::violations.
 namespace eelgrasspin::scenario {
 
 struct World;
 using Action = std::function<void(World&)>;
 
 struct ScheduledAction {
-  Duration at{0};
-  std::uint64_t order = 0;
+  Duration due_at{0};
+  std::uint64_t sequence = 0;  ///< Orders actions that are due at one time.
   Action action;
 
   bool operator>(const ScheduledAction& other) const {
-    return at != other.at ? at > other.at : order > other.order;
+    return due_at != other.due_at ? due_at > other.due_at
+                                  : sequence > other.sequence;
   }
 };
 
@@ -37,43 +39,48 @@
   Duration same_zone = microseconds(200);
   Duration between_zones = milliseconds(1);
   Duration between_regions = milliseconds(8);
-  Duration clients = milliseconds(3);
-  ZoneName store_zone;  ///< The store is in this zone.
+  Duration caller_to_daemon = milliseconds(3);
+  ZoneName store_zone;  ///< Where the store runs.
 };
 
-/// Identity of one caller's request over all daemons.
+/// Identifies a caller's request across all daemons; 0: none.
 using RequestSerial = std::uint64_t;
 
+/// A daemon process, its reducer's state, and its open calls.
 struct Daemon {
   core::State state;
   bool alive = false;
   bool paused = false;
-  std::uint64_t generation =
-      0;  ///< Up by one at each start; stale deliveries are dropped.
+  /// Increased at each start and each exit. A delivery for another generation
+  /// is dropped.
+  std::uint64_t generation = 0;
   Duration clock_offset{0};
-  std::deque<core::Event> inbox;  ///< Arrived during a pause.
+  std::deque<core::Event> deferred_events;  ///< Arrived during the pause.
   std::uint64_t next_request = 1;
-  std::map<RequestId, RequestSerial> serials;
+  std::map<RequestId, RequestSerial> request_serials;
+  /// Where a forwarded request came from.
   struct Origin {
     DaemonName daemon;
     std::uint64_t generation = 0;
     RequestId request;
     AttemptId attempt;
   };
-  /// Cancelled while this daemon was paused; whatever it answers is dropped.
-  std::set<RequestId> cancelled;
-  std::map<RequestId, Origin>
-      origins;  ///< Requests that another daemon forwarded.
+  /// Forwarded requests cancelled while this daemon was paused; their answers
+  /// are dropped.
+  std::set<RequestId> cancelled_while_paused;
+  /// Of the requests that other daemons forwarded to this one.
+  std::map<RequestId, Origin> origins;
+  /// Where a request was forwarded to.
   struct Forward {
     DaemonName daemon;
     std::uint64_t generation = 0;
     RequestId request;
   };
   std::map<AttemptId, Forward> forwards;
-  std::map<AttemptId, ServerName> at_servers;
-  std::map<AttemptId, RequestSerial>
-      answers;  ///< Whose answer an attempt brought.
-  Version declarations_seen;
+  std::map<AttemptId, ServerName> server_attempts;
+  /// The request to which the answer of an attempt belongs.
+  std::map<AttemptId, RequestSerial> answered_serials;
+  Version last_declarations_version;
 };
 
 /// One execution of a request on a backend server.
@@ -89,16 +96,16 @@
   bool aborted = false;
 };
 
-/// A request on its way to, or at, a backend server.
-struct ServerWork {
+/// A request sent to a backend server.
+struct ServerRequest {
   core::SendToServer effect;
   RequestSerial serial = 0;
   DaemonName front;
-  std::uint64_t front_run = 0;
+  std::uint64_t front_generation = 0;
 };
 
-/// A backend server that obeys include/eelgrasspin/grant.h, or one that checks
-/// nothing.
+/// A backend server that follows the protocol of include/eelgrasspin/grant.h,
+/// or one that checks no grants.
 struct Server {
   ServerDeclaration declaration;
   bool alive = true;
@@ -106,50 +113,51 @@
   std::uint64_t incarnation = 1;
   Duration service_time = milliseconds(5);
   FrontEpoch highest_epoch;
-  std::map<std::uint64_t, Duration>
-      answers;  ///< Sequence -> when the answer was sent.
-  Duration expires{-1};
+  /// When the answer to each order was sent, by the order's sequence.
+  std::map<std::uint64_t, Duration> answer_times;
+  Duration grant_expiry{-1};  ///< Grants are in force before this time.
   std::uint64_t set_version = 0;
   std::uint64_t applied_set_version = 0;
-  std::set<SlotGrant> granted;
+  std::set<SlotGrant> granted_units;
   std::uint32_t crashes = 0;
   struct Running {
-    ServerWork service_time;
+    ServerRequest request;
     std::size_t execution = 0;  ///< Index into World::executions.
   };
   std::map<std::pair<DaemonName, AttemptId>, Running> running;
-  std::deque<Action> buffered;  ///< Arrived while frozen.
+  std::deque<Action> deferred_actions;  ///< Arrived during the freeze.
 };
 
-/// A caller's request and how it ended.
+/// A caller's request and its outcome.
 struct CallerRequest {
   RequestSerial serial = 0;
   RequestHead head;
   DaemonName entry;
   Duration sent{0};
   Duration ended{0};
-  std::uint32_t ends = 0;
-  std::optional<Outcome>
-      outcome;  ///< Empty: no end was seen (its daemon was lost).
+  std::uint32_t end_count = 0;     ///< Times that the caller received an end.
+  std::optional<Outcome> outcome;  ///< Empty: open, or the daemon was lost.
   Reason reason = Reason::kNone;
-  RequestSerial answer_of = 0;
+  RequestSerial answered_serial = 0;  ///< The request whose answer came.
   ExecutionClass execution_class = ExecutionClass::kRead;
-  bool poison = false;  ///< Crashes a server that runs it.
+  bool poison = false;  ///< Crashes any server that runs it.
 };
 
+/// A pending watch at the store.
 struct Watcher {
   StoreKey prefix;
   Version since;
   std::uint64_t id = 0;
-  std::function<void(World&, StoreResult)> done;
+  std::function<void(World&, StoreResult)> on_result;
 };
 
+/// The object store of the platform.
 struct Store {
   std::map<StoreKey, StoreEntry> entries;
   std::uint64_t revision = 0;
   bool down = false;
-  std::uint32_t answers_to_lose = 0;  ///< Of the next writes.
-  Duration extra_latency{0};
+  std::uint32_t answers_to_lose = 0;  ///< To the next writes, which are made.
+  Duration extra_latency{0};          ///< One way.
   std::vector<Watcher> watchers;
   std::uint64_t next_watcher = 1;
   std::uint64_t reads = 0;
@@ -157,11 +165,11 @@
   std::uint64_t watches = 0;
 };
 
-/// What may happen to messages between daemons.
+/// Faults of the messages between daemons.
 struct MessageFaults {
   double loss = 0;          ///< Probability.
   double duplicate = 0;     ///< Probability.
-  Duration extra_delay{0};  ///< Upper bound, uniform.
+  Duration extra_delay{0};  ///< Upper bound of a uniform delay.
 };
 
 struct World {
@@ -172,18 +180,20 @@
   std::priority_queue<ScheduledAction, std::vector<ScheduledAction>,
                       std::greater<>>
       queue;
-  std::uint64_t next_order = 1;
+  std::uint64_t next_sequence = 1;
   std::map<DaemonName, Daemon> daemons;
   std::map<ServerName, Server> servers;
   Store store;
   std::map<std::string, VmState> vms;
+  /// From a daemon's kill until its VM is listed as gone.
   Duration vm_list_lag = seconds(10);
-  std::set<std::pair<ZoneName, ZoneName>>
-      cut;  ///< Directed: messages from first to second are lost.
-  std::set<ZoneName> cut_from_store;
+  /// Messages from the first zone to the second are lost.
+  std::set<std::pair<ZoneName, ZoneName>> cut_links;
+  std::set<ZoneName> zones_cut_from_store;
   MessageFaults message_faults;
-  bool servers_fence = true;  ///< Servers refuse lower front epochs; switched
-                              ///< off to show that the checks can fail.
+  /// Servers refuse lower front epochs. Tests switch this off to show that the
+  /// checks detect a second owner.
+  bool servers_fence = true;
   std::map<RequestSerial, CallerRequest> requests;
   RequestSerial next_serial = 1;
   std::vector<Execution> executions;
@@ -192,22 +202,21 @@
   std::uint64_t next_operator_call = 1;
   std::uint64_t peer_messages = 0;
   std::set<std::string> violations;
-  std::map<StoreKey, OwnershipMap>
-      last_maps;  ///< As last written; for the checks.
+  std::map<StoreKey, OwnershipMap> last_written_maps;  ///< For the checks.
   struct LastExecution {
     Epoch epoch;
     ServerName server;
   };
   std::map<std::pair<ServiceName, Key>, LastExecution>
-      last_execution;  ///< For the checks.
-  std::uint64_t incarnations = 100;
+      last_executions;                   ///< For the checks.
+  std::uint64_t last_incarnation = 100;  ///< Of daemons.
 };
 
-/// A world with the declared servers running and no daemon yet.
+/// A world in which the declared servers run, but no daemon.
 World make_world(Declarations declarations, std::uint64_t seed);
 
 void schedule(World& world, Duration delay, Action action);
-/// Runs everything due until `until`.
+/// Runs the actions that are due by `until`, in order.
 void run_until(World& world, Duration until);
 void run_for(World& world, Duration span);
 
@@ -216,11 +225,15 @@
 void add_daemon(World& world, const DaemonName& daemon, const ZoneName& zone,
                 core::Guards guards = {});
 void start_daemon(World& world, const DaemonName& daemon);
+/// Ends the process at once; its open requests are lost.
 void kill_daemon(World& world, const DaemonName& daemon);
+/// Events are deferred until resume_daemon.
 void pause_daemon(World& world, const DaemonName& daemon);
 void resume_daemon(World& world, const DaemonName& daemon);
+/// Requests an orderly stop.
 void stop_daemon(World& world, const DaemonName& daemon);
-/// Hands an event to a daemon's reducer and executes the effects.
+/// Passes an event to a daemon's reducer and executes the effects. Dropped if
+/// the daemon is down or of another generation; deferred during a pause.
 void deliver(World& world, const DaemonName& daemon, std::uint64_t generation,
              const core::Event& event);
 Now now_of(const World& world, const Daemon& daemon);
@@ -228,15 +241,19 @@
 // Servers.
 void crash_server(World& world, const ServerName& server);
 void restart_server(World& world, const ServerName& server);
+/// The server does nothing until thaw_server, and then all that was due.
 void freeze_server(World& world, const ServerName& server);
 void thaw_server(World& world, const ServerName& server);
 
 // Network between availability zones.
+/// Loses all messages in this direction.
 void cut_zones(World& world, const ZoneName& from, const ZoneName& to);
+/// Cuts a zone off from the other zones, in both directions, and the store.
 void isolate_zone(World& world, const ZoneName& zone);
 void heal_network(World& world);
 
 // Platform.
+/// Calls time out until store_up; pending watches fail.
 void store_down(World& world);
 void store_up(World& world);
 void put_declarations(World& world, const Declarations& declarations);
--- a/src/scenario/world_daemon.cc
+++ b/src/scenario/world_daemon.cc
@@ -12,12 +12,13 @@
   return DaemonName(endpoint.str().substr(kPrefix.size()));
 }
 
-bool chance(World& world, double probability) {
+/// Whether a fault of this probability occurs.
+bool draw_fault(World& world, double probability) {
   return probability > 0 && std::uniform_real_distribution<double>(
                                 0, 1)(world.random) < probability;
 }
 
-Duration jitter(World& world) {
+Duration draw_extra_delay(World& world) {
   Duration bound = world.message_faults.extra_delay;
   if (bound.count() == 0) return bound;
   return Duration(std::uniform_int_distribution<Duration::rep>(
@@ -30,15 +31,16 @@
   DaemonName to = daemon_at(effect.to);
   auto it = world.daemons.find(to);
   if (it == world.daemons.end()) return;
-  ZoneName here = world.daemons.at(from).state.self.zone;
-  ZoneName there = it->second.state.self.zone;
+  ZoneName from_zone = world.daemons.at(from).state.self.zone;
+  ZoneName to_zone = it->second.state.self.zone;
   std::uint64_t generation = it->second.generation;
-  int copies = chance(world, world.message_faults.duplicate) ? 2 : 1;
+  int copies = draw_fault(world, world.message_faults.duplicate) ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    if (!reachable(world, here, there) ||
-        chance(world, world.message_faults.loss))
+    if (!reachable(world, from_zone, to_zone) ||
+        draw_fault(world, world.message_faults.loss))
       continue;
-    schedule(world, latency(world, here, there) + jitter(world),
+    schedule(world,
+             latency(world, from_zone, to_zone) + draw_extra_delay(world),
              [to, generation, message = effect.message](World& w) {
                deliver(w, to, generation, core::PeerReceived{message});
              });
@@ -47,13 +49,13 @@
 
 void send_to_front(World& world, const DaemonName& from,
                    const core::SendToFront& effect) {
-  Daemon& here = world.daemons.at(from);
+  Daemon& sender = world.daemons.at(from);
   DaemonName to = daemon_at(effect.front);
   auto it = world.daemons.find(to);
-  ZoneName from_zone = here.state.self.zone;
-  auto fail = [&](const AttemptResult& result, Duration after) {
-    end_attempt(world, from, here.generation, effect.request, effect.attempt,
-                result, after);
+  ZoneName from_zone = sender.state.self.zone;
+  auto fail = [&](const AttemptResult& result, Duration delay) {
+    end_attempt(world, from, sender.generation, effect.request, effect.attempt,
+                result, delay);
   };
   if (it == world.daemons.end() || !it->second.alive) {
     fail(AttemptNotRun{Reason::kOwnerUnreachable},
@@ -66,84 +68,88 @@
          config::kPingInterval + config::kPingTimeout);
     return;
   }
-  RequestSerial serial = here.serials[effect.request];
+  RequestSerial serial = sender.request_serials[effect.request];
   RequestId id(it->second.next_request++);
-  here.forwards[effect.attempt] = {to, it->second.generation, id};
+  sender.forwards[effect.attempt] = {to, it->second.generation, id};
   RequestHead head = world.requests.at(serial).head;
   head.time_left = effect.time_left;
   head.hops = 1;
-  Daemon::Origin origin{from, here.generation, effect.request, effect.attempt};
+  Daemon::Origin origin{from, sender.generation, effect.request,
+                        effect.attempt};
   ForwardedFrom forwarded{from, effect.server, effect.slot, effect.epoch};
   schedule(
       world, latency(world, from_zone, to_zone),
       [=, generation = it->second.generation](World& w) {
-        Daemon& there = w.daemons.at(to);
-        if (!there.alive || there.generation != generation) {
+        Daemon& front = w.daemons.at(to);
+        if (!front.alive || front.generation != generation) {
           end_attempt(w, from, origin.generation, effect.request,
                       effect.attempt, AttemptNotRun{Reason::kOwnerUnreachable},
                       config::kPingInterval);
           return;
         }
-        there.serials[id] = serial;
-        there.origins[id] = origin;
+        front.request_serials[id] = serial;
+        front.origins[id] = origin;
         deliver(w, to, generation, core::RequestArrived{id, head, forwarded});
       });
 }
 
-/// Takes the end of a forwarded request back to the daemon that sent it.
+/// Returns the result of a forwarded request to the daemon that sent it.
 void answer_origin(World& world, Daemon& daemon, RequestId request,
-                   const AttemptResult& result, RequestSerial answer_of) {
+                   const AttemptResult& result, RequestSerial answered_serial) {
   Daemon::Origin origin = daemon.origins.at(request);
   daemon.origins.erase(request);
-  daemon.serials.erase(request);
+  daemon.request_serials.erase(request);
   Daemon& to = world.daemons.at(origin.daemon);
-  ZoneName here = daemon.state.self.zone;
-  ZoneName there = to.state.self.zone;
-  if (!reachable(world, here, there)) {
+  ZoneName from_zone = daemon.state.self.zone;
+  ZoneName to_zone = to.state.self.zone;
+  if (!reachable(world, from_zone, to_zone)) {
     end_attempt(world, origin.daemon, origin.generation, origin.request,
                 origin.attempt, AttemptUnknown{Reason::kConnectionLost},
                 config::kPingInterval + config::kPingTimeout);
     return;
   }
-  if (answer_of != 0 && to.generation == origin.generation)
-    to.answers[origin.attempt] = answer_of;
+  if (answered_serial != 0 && to.generation == origin.generation)
+    to.answered_serials[origin.attempt] = answered_serial;
   end_attempt(world, origin.daemon, origin.generation, origin.request,
-              origin.attempt, result, latency(world, here, there));
+              origin.attempt, result, latency(world, from_zone, to_zone));
 }
 
-void end_caller(World& world, Daemon& daemon, RequestId id, Outcome outcome,
-                Reason reason, RequestSerial answer_of) {
-  auto it = daemon.serials.find(id);
-  if (daemon.cancelled.erase(id) > 0) return;
-  if (it == daemon.serials.end()) {
-    violate(world, "a request ended twice or was never there");
+void end_caller_request(World& world, Daemon& daemon, RequestId id,
+                        Outcome outcome, Reason reason,
+                        RequestSerial answered_serial) {
+  auto it = daemon.request_serials.find(id);
+  if (daemon.cancelled_while_paused.erase(id) > 0) return;
+  if (it == daemon.request_serials.end()) {
+    add_violation(world, "a request ended twice or is unknown");
     return;
   }
   CallerRequest& request = world.requests.at(it->second);
-  daemon.serials.erase(it);
-  ++request.ends;
+  daemon.request_serials.erase(it);
+  ++request.end_count;
   request.outcome = outcome;
   request.reason = reason;
-  request.answer_of = answer_of;
-  request.ended = world.now + world.latencies.clients;
+  request.answered_serial = answered_serial;
+  request.ended = world.now + world.latencies.caller_to_daemon;
 }
 
 void relay_answer(World& world, Daemon& daemon,
                   const core::RelayAnswer& effect) {
-  RequestSerial answer_of = daemon.answers[effect.attempt];
-  daemon.answers.erase(effect.attempt);
+  RequestSerial answered_serial = daemon.answered_serials[effect.attempt];
+  daemon.answered_serials.erase(effect.attempt);
   if (daemon.origins.contains(effect.request)) {
     answer_origin(world, daemon, effect.request, AttemptAnswered{200, 64},
-                  answer_of);
+                  answered_serial);
     return;
   }
-  end_caller(world, daemon, effect.request, Outcome::kAnswered, Reason::kNone,
-             answer_of);
+  end_caller_request(world, daemon, effect.request, Outcome::kAnswered,
+                     Reason::kNone, answered_serial);
 }
 
-void refuse(World& world, Daemon& daemon, const core::RefuseRequest& effect) {
+void refuse_request(World& world, Daemon& daemon,
+                    const core::RefuseRequest& effect) {
   if (!daemon.origins.contains(effect.request)) {
-    end_caller(world, daemon, effect.request, effect.outcome, effect.reason, 0);
+    end_caller_request(world, daemon, effect.request, effect.outcome,
+                       effect.reason, 0);
     return;
   }
   AttemptResult result = AttemptUnknown{effect.reason};
@@ -154,11 +160,12 @@
   answer_origin(world, daemon, effect.request, result, 0);
 }
 
-void cancel(World& world, Daemon& daemon, const core::CancelAttempt& effect) {
-  if (auto it = daemon.at_servers.find(effect.attempt);
-      it != daemon.at_servers.end()) {
-    server_cancel(world, it->second, daemon.state.self.name, effect.attempt);
-    daemon.at_servers.erase(it);
+void cancel_attempt(World& world, Daemon& daemon,
+                    const core::CancelAttempt& effect) {
+  if (auto it = daemon.server_attempts.find(effect.attempt);
+      it != daemon.server_attempts.end()) {
+    cancel_on_server(world, it->second, daemon.state.self.name, effect.attempt);
+    daemon.server_attempts.erase(it);
   }
   if (auto it = daemon.forwards.find(effect.attempt);
       it != daemon.forwards.end()) {
@@ -193,7 +200,7 @@
     Daemon& daemon = w.daemons.at(name);
     if (daemon.generation != generation) return;
     daemon.forwards.erase(attempt);
-    daemon.at_servers.erase(attempt);
+    daemon.server_attempts.erase(attempt);
     deliver(w, name, generation, core::AttemptEnded{request, attempt, result});
   });
 }
@@ -210,14 +217,15 @@
         !daemon.origins.contains(forward.request))
       return;
     daemon.origins.erase(forward.request);
-    daemon.serials.erase(forward.request);
-    if (daemon.paused) daemon.cancelled.insert(forward.request);
+    daemon.request_serials.erase(forward.request);
+    if (daemon.paused) daemon.cancelled_while_paused.insert(forward.request);
     deliver(w, forward.daemon, forward.generation,
             core::RequestCancelled{forward.request});
   });
 }
 
-void execute(World& world, const DaemonName& name, const core::Effect& effect) {
+void execute_effect(World& world, const DaemonName& name,
+                    const core::Effect& effect) {
   Daemon& daemon = world.daemons.at(name);
   std::visit(
       Overloaded{
@@ -227,14 +235,18 @@
           [&](const core::StoreWatch& e) { store_watch(world, name, e); },
           [&](const core::ListVms&) { list_vms(world, name); },
           [&](const core::SendPeer& e) { send_peer(world, name, e); },
-          [&](const core::SendGrant& e) { server_order(world, name, e); },
+          [&](const core::SendGrant& e) { send_grant_order(world, name, e); },
           [&](const core::SendToServer& e) {
-            run_on_server(world, name, e, daemon.serials[e.request]);
+            run_on_server(world, name, e, daemon.request_serials[e.request]);
           },
           [&](const core::SendToFront& e) { send_to_front(world, name, e); },
-          [&](const core::CancelAttempt& e) { cancel(world, daemon, e); },
+          [&](const core::CancelAttempt& e) {
+            cancel_attempt(world, daemon, e);
+          },
           [&](const core::RelayAnswer& e) { relay_answer(world, daemon, e); },
-          [&](const core::RefuseRequest& e) { refuse(world, daemon, e); },
+          [&](const core::RefuseRequest& e) {
+            refuse_request(world, daemon, e);
+          },
           [&](const core::ReplyOperator& e) {
             world.operator_answers[e.call] = e.answer;
           },
--- a/src/scenario/world_store.cc
+++ b/src/scenario/world_store.cc
@@ -8,8 +8,9 @@
 
 using Reply = std::function<void(World&, StoreResult)>;
 
-/// Sends a call to the store; `call` computes the answer there. Without a path:
-/// StoreUnavailable after the timeout.
+/// Sends a call to the store, where `call` computes the result. The daemon
+/// receives StoreUnavailable after the timeout if the store is out of reach or
+/// the answer is lost.
 void call_store(World& world, const DaemonName& name, StoreOpId op,
                 std::function<StoreResult(World&)> call, bool is_write) {
   const Daemon& daemon = world.daemons.at(name);
@@ -23,9 +24,9 @@
     schedule(world, config::kStoreTimeout, unavailable);
     return;
   }
-  Duration there = latency(world, zone, world.latencies.store_zone) +
-                   world.store.extra_latency;
-  schedule(world, there, [=, call = std::move(call)](World& w) {
+  Duration one_way = latency(world, zone, world.latencies.store_zone) +
+                     world.store.extra_latency;
+  schedule(world, one_way, [=, call = std::move(call)](World& w) {
     if (!store_reachable(w, zone)) {
       schedule(w, config::kStoreTimeout, unavailable);
       return;
@@ -36,24 +37,26 @@
       schedule(w, config::kStoreTimeout, unavailable);
       return;
     }
-    schedule(w, there, [=](World& back) {
-      if (store_reachable(back, zone)) {
-        deliver(back, name, generation, core::StoreAnswered{op, result});
+    schedule(w, one_way, [=](World& at_reply) {
+      if (store_reachable(at_reply, zone)) {
+        deliver(at_reply, name, generation, core::StoreAnswered{op, result});
       } else {
-        schedule(back, config::kStoreTimeout, unavailable);
+        schedule(at_reply, config::kStoreTimeout, unavailable);
       }
     });
   });
 }
 
-StoreEntry entry_of(const World& world, const StoreKey& key) {
+/// An absent key has version 0.
+StoreEntry read_entry(const World& world, const StoreKey& key) {
   auto it = world.store.entries.find(key);
   return it == world.store.entries.end() ? StoreEntry{key, Version(0), {}}
                                          : it->second;
 }
 
-std::vector<StoreEntry> changed(const World& world, const StoreKey& prefix,
-                                Version since) {
+/// Entries with the prefix that changed after `since`, by version.
+std::vector<StoreEntry> entries_since(const World& world,
+                                      const StoreKey& prefix, Version since) {
   std::vector<StoreEntry> found;
   for (auto it = world.store.entries.lower_bound(prefix);
        it != world.store.entries.end() &&
@@ -67,24 +70,24 @@
 }
 
 void notify_watchers(World& world, const StoreKey& key) {
-  std::vector<Watcher> hit;
+  std::vector<Watcher> matching;
   auto matches = [&](const Watcher& watcher) {
     return key.str().starts_with(watcher.prefix.str());
   };
   std::copy_if(world.store.watchers.begin(), world.store.watchers.end(),
-               std::back_inserter(hit), matches);
+               std::back_inserter(matching), matches);
   std::erase_if(world.store.watchers, matches);
-  for (const Watcher& watcher : hit) {
-    watcher.done(world,
-                 StoreRead{Version(world.store.revision),
-                           changed(world, watcher.prefix, watcher.since)});
+  for (const Watcher& watcher : matching) {
+    watcher.on_result(
+        world, StoreRead{Version(world.store.revision),
+                         entries_since(world, watcher.prefix, watcher.since)});
   }
 }
 
 StoreResult write(World& world, const StoreKey& key, Version expected,
                   const Record& record) {
   ++world.store.writes;
-  StoreEntry current = entry_of(world, key);
+  StoreEntry current = read_entry(world, key);
   if (current.version != expected) return StoreConflict{current};
   StoreEntry entry{key, Version(++world.store.revision), record};
   world.store.entries[key] = entry;
@@ -99,7 +102,7 @@
                const core::StoreGet& effect) {
   auto call = [key = effect.key](World& w) -> StoreResult {
     ++w.store.reads;
-    return StoreRead{Version(w.store.revision), {entry_of(w, key)}};
+    return StoreRead{Version(w.store.revision), {read_entry(w, key)}};
   };
   call_store(world, daemon, effect.op, call, false);
 }
@@ -108,7 +111,8 @@
                 const core::StoreList& effect) {
   auto call = [prefix = effect.prefix](World& w) -> StoreResult {
     ++w.store.reads;
-    return StoreRead{Version(w.store.revision), changed(w, prefix, Version(0))};
+    return StoreRead{Version(w.store.revision),
+                     entries_since(w, prefix, Version(0))};
   };
   call_store(world, daemon, effect.op, call, false);
 }
@@ -127,25 +131,26 @@
   ZoneName zone = daemon.state.self.zone;
   std::uint64_t generation = daemon.generation;
   StoreOpId op = effect.op;
-  Duration there = latency(world, zone, world.latencies.store_zone) +
-                   world.store.extra_latency;
+  Duration one_way = latency(world, zone, world.latencies.store_zone) +
+                     world.store.extra_latency;
   auto answer = [=](World& w, StoreResult result) {
     bool lost = !store_reachable(w, zone);
-    Duration delay = lost ? Duration(config::kStoreTimeout) : there;
+    Duration delay = lost ? Duration(config::kStoreTimeout) : one_way;
     if (lost) result = StoreUnavailable{"watch lost"};
-    schedule(w, delay, [=](World& back) {
-      deliver(back, name, generation, core::StoreAnswered{op, result});
+    schedule(w, delay, [=](World& at_reply) {
+      deliver(at_reply, name, generation, core::StoreAnswered{op, result});
     });
   };
   if (!store_reachable(world, zone)) {
     answer(world, StoreUnavailable{"timeout"});
     return;
   }
-  schedule(world, there, [=](World& w) {
+  schedule(world, one_way, [=](World& w) {
     ++w.store.watches;
-    std::vector<StoreEntry> already = changed(w, effect.prefix, effect.since);
-    if (!already.empty()) {
-      answer(w, StoreRead{Version(w.store.revision), already});
+    std::vector<StoreEntry> changes =
+        entries_since(w, effect.prefix, effect.since);
+    if (!changes.empty()) {
+      answer(w, StoreRead{Version(w.store.revision), changes});
       return;
     }
     std::uint64_t id = w.store.next_watcher++;
@@ -157,7 +162,7 @@
       if (it == later.store.watchers.end()) return;
       Watcher watcher = *it;
       later.store.watchers.erase(it);
-      watcher.done(later, StoreRead{Version(later.store.revision), {}});
+      watcher.on_result(later, StoreRead{Version(later.store.revision), {}});
     });
   });
 }
@@ -167,7 +172,7 @@
   std::vector<Watcher> watchers = std::move(world.store.watchers);
   world.store.watchers.clear();
   for (const Watcher& watcher : watchers)
-    watcher.done(world, StoreUnavailable{"outage"});
+    watcher.on_result(world, StoreUnavailable{"outage"});
 }
 
 void store_up(World& world) { world.store.down = false; }
@@ -178,8 +183,8 @@
                             .applied_by = OperatorName("setup"),
                             .write_id = 1};
   record.write_id = world.store.revision + 1;
-  write(world, declarations_key(), entry_of(world, declarations_key()).version,
-        record);
+  write(world, declarations_key(),
+        read_entry(world, declarations_key()).version, record);
 }
 
 }  // namespace eelgrasspin::scenario
--- a/tests/matrix_test.cc
+++ b/tests/matrix_test.cc
@@ -26,7 +26,7 @@
   Declarations declarations = demo();
   for (const auto& [frozen, server] : declarations.servers) {
     World world = start_deployment(declarations, 1);
-    probe_always(world);
+    start_probing(world);
     run_for(world, seconds(1));
     const StoreEntry& entry = world.store.entries.at(roster_key(server.zone));
     DaemonName front =
--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -41,23 +41,23 @@
   order.order.set_version = 1;
   order.order.carries_set = true;
   order.order.slots = {{SlotId(3), Key(), Epoch(1)}};
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, milliseconds(10));
   EXPECT_EQ(world.servers.at(server).highest_epoch, FrontEpoch(2));
-  EXPECT_LT(world.servers.at(server).expires, world.now)
+  EXPECT_LT(world.servers.at(server).grant_expiry, world.now)
       << "an order without an echo grants nothing";
   order.order.sequence = 2;
   order.order.echo = 1;
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, milliseconds(10));
-  EXPECT_GT(world.servers.at(server).expires, world.now);
+  EXPECT_GT(world.servers.at(server).grant_expiry, world.now);
   freeze_server(world, server);
   order.order.sequence = 3;
   order.order.echo = 2;
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, seconds(10));
   thaw_server(world, server);
-  EXPECT_LT(world.servers.at(server).expires, world.now)
+  EXPECT_LT(world.servers.at(server).grant_expiry, world.now)
       << "a renewal that arrived late extends nothing";
 }
 
