--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -27,14 +27,14 @@
   answer.headers.emplace_back(name, std::to_string(number));
 }
 
-std::optional<VmState> vm_state_from(std::string_view word) {
+std::optional<VmState> parse_vm_state(std::string_view word) {
   if (word == "live") return VmState::kLive;
   if (word == "leaving") return VmState::kLeaving;
   if (word == "gone") return VmState::kGone;
   return std::nullopt;
 }
 
-Error unknown_line(const std::string& line) {
+Error unknown_control_line(const std::string& line) {
   return {ErrorCode::kInvalid, "unknown control line \"" + line + "\""};
 }
 
@@ -56,7 +56,7 @@
   write_rate_.limit = writes;
 }
 
-bool Platform::within_rate(RateWindow& window) {
+bool Platform::is_within_rate(RateWindow& window) {
   if (window.limit == 0) return true;
   TimePoint now = io::steady_now();
   if (now - window.start >= seconds(1)) window = {now, 0, window.limit};
@@ -91,8 +91,8 @@
   std::string path(io::path_of(request.target));
   if (path == "/vms") return handle_vms(exchange);
   bool writes = request.method == "PUT";
-  if (!within_rate(writes ? write_rate_ : read_rate_)) {
-    return exchange->answer(text(429, "too many calls\n"));
+  if (!is_within_rate(writes ? write_rate_ : read_rate_)) {
+    return exchange->answer(text(429, "rate limit exceeded\n"));
   }
   if (path == "/list") return handle_list(exchange);
   if (path == "/watch") return handle_watch(exchange);
@@ -131,10 +131,11 @@
   const HttpRequest& request = exchange->request();
   auto expected = io::number_header(request.headers, "if-version");
   if (!expected || request.body.size() > kMaxValueBytes) {
-    return exchange->answer(text(400, "If-Version missing or value too big\n"));
+    return exchange->answer(
+        text(400, "If-Version missing or value too large\n"));
   }
   Value& value = values_[key];
-  // A deleted key counts as absent, and as what it was deleted at.
+  // A deleted key matches version 0, and the version of its deletion.
   bool absent = value.text.empty() && *expected == 0;
   if (!absent && *expected != value.version) {
     ++stats_.conflicts;
@@ -144,7 +145,7 @@
     return answer(exchange, std::move(conflict));
   }
   value = {++revision_, request.body};
-  notify(key);
+  notify_watches(key);
   if (answers_to_lose_ > 0) {
     --answers_to_lose_;
     return exchange->abort();
@@ -188,44 +189,45 @@
   std::string prefix = io::query_parameter(target, "prefix");
   auto since = io::parse_number(io::query_parameter(target, "since"));
   auto wait = io::parse_number(io::query_parameter(target, "wait_ms"));
-  if (!since || !wait) return exchange->answer(text(400, "bad watch\n"));
+  if (!since || !wait)
+    return exchange->answer(text(400, "since or wait_ms is not a number\n"));
   for (auto it = values_.lower_bound(prefix);
        it != values_.end() && it->first.starts_with(prefix); ++it) {
     if (it->second.version > *since) {
       return answer(exchange, list_answer(prefix, *since, true));
     }
   }
-  auto limit = std::make_shared<boost::asio::steady_timer>(
+  auto timeout = std::make_shared<boost::asio::steady_timer>(
       io_, std::chrono::milliseconds(*wait));
-  watches_.push_back({prefix, *since, exchange, limit});
+  watches_.push_back({prefix, *since, exchange, timeout});
   std::weak_ptr<bool> alive = alive_;
-  auto drop = [this, alive, exchange = std::weak_ptr(exchange)] {
+  auto remove_watch = [this, alive, exchange = std::weak_ptr(exchange)] {
     if (alive.expired()) return;
     std::erase_if(watches_, [&](const Watch& watch) {
       return watch.exchange == exchange.lock();
     });
   };
-  exchange->on_abandoned(drop);
-  limit->async_wait([this, alive, drop, prefix, since = *since,
-                     exchange](boost::system::error_code failed) {
+  exchange->on_abandoned(remove_watch);
+  timeout->async_wait([this, alive, remove_watch, prefix, since = *since,
+                       exchange](boost::system::error_code failed) {
     if (failed || alive.expired()) return;
     exchange->answer(list_answer(prefix, since, true));
-    drop();
+    remove_watch();
   });
 }
 
-void Platform::notify(const std::string& key) {
-  std::vector<Watch> due;
+void Platform::notify_watches(const std::string& key) {
+  std::vector<Watch> matching_watches;
   for (auto it = watches_.begin(); it != watches_.end();) {
     if (!key.starts_with(it->prefix)) {
       ++it;
       continue;
     }
-    due.push_back(std::move(*it));
+    matching_watches.push_back(std::move(*it));
     it = watches_.erase(it);
   }
-  for (Watch& watch : due) {
-    watch.limit->cancel();
+  for (Watch& watch : matching_watches) {
+    watch.timeout->cancel();
     if (outage_ == Outage::kNone) {
       answer(watch.exchange, list_answer(watch.prefix, watch.since, true));
     }
@@ -259,8 +261,8 @@
   std::string name;
   std::string word;
   while (lines >> name >> word) {
-    auto state = vm_state_from(word);
-    if (!state) return exchange->answer(text(400, "unknown state\n"));
+    auto state = parse_vm_state(word);
+    if (!state) return exchange->answer(text(400, "unknown VM state\n"));
     set_vm(name, *state);
   }
   exchange->answer(text(200, "ok\n"));
@@ -271,8 +273,8 @@
   std::string line;
   while (std::getline(lines, line)) {
     if (line.empty()) continue;
-    if (auto wrong = apply_control_line(line)) {
-      return exchange->answer(text(400, wrong->message + "\n"));
+    if (auto error_found = apply_control_line(line)) {
+      return exchange->answer(text(400, error_found->message + "\n"));
     }
   }
   exchange->answer(text(200, "ok\n"));
@@ -302,7 +304,7 @@
     set_rate_limits(static_cast<std::uint32_t>(*number),
                     static_cast<std::uint32_t>(*other));
   } else {
-    return unknown_line(line);
+    return unknown_control_line(line);
   }
   return std::nullopt;
 }
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -17,19 +17,18 @@
 #include "eelgrasspin/vm_list.h"
 #include "io/http_server.h"
 
-/// Small stand-ins for the platform and for backend servers, for tests and
-/// demos.
+/// Stand-ins for the platform and for backend servers, for tests and demos.
 namespace eelgrasspin::standin {
 
-/// Calls received, by kind.
+/// Counts of calls.
 struct PlatformStats {
   std::uint64_t reads = 0;
   std::uint64_t lists = 0;
   std::uint64_t writes = 0;
   std::uint64_t watches = 0;
   std::uint64_t vm_lists = 0;
-  std::uint64_t conflicts = 0;
-  std::uint64_t limited = 0;
+  std::uint64_t conflicts = 0;  ///< Writes refused for their version.
+  std::uint64_t limited = 0;    ///< Calls refused for the rate limits.
 };
 
 enum class Outage : std::uint8_t {
@@ -38,8 +37,9 @@
   kSilent,    ///< Never answers.
 };
 
-/// The platform: an object store in memory with versions, conditional updates
-/// and watches, and a list of VMs that lags. Protocol: docs/design/platform.md.
+/// The platform: an in-memory object store with versions, conditional writes
+/// and watches, and a VM list that is updated late. Protocol:
+/// docs/design/platform.md.
 class Platform {
  public:
   explicit Platform(boost::asio::io_context& io);
@@ -50,30 +50,34 @@
   const PlatformStats& stats() const { return stats_; }
 
   void set_outage(Outage outage) { outage_ = outage; }
-  /// The next writes take effect, but their answers are lost.
+  /// Makes the next `count` writes, but aborts them without an answer.
   void lose_answers(std::uint32_t count) { answers_to_lose_ = count; }
+  /// Delays answers of the store and the VM list.
   void set_delay(Duration delay) { delay_ = delay; }
-  /// Calls a second above which reads and lists, or writes, are refused; 0: no
-  /// limit.
+  /// Refuses calls above these numbers per second; `reads` covers lists and
+  /// watches too. 0: no limit.
   void set_rate_limits(std::uint32_t reads, std::uint32_t writes);
-  /// Shown in the list after the lag.
+  /// The VM list shows the state after the lag.
   void set_vm(const std::string& name, VmState state);
   void set_vm_lag(Duration lag) { vm_lag_ = lag; }
-  /// One control line; the error says what is wrong with it.
+  /// Applies one line of a /-/control request. Returns an error if it is
+  /// unknown.
   std::optional<Error> apply_control_line(const std::string& line);
 
  private:
   using Exchange = std::shared_ptr<io::HttpExchange>;
   struct Value {
     std::uint64_t version = 0;
-    std::string text;  ///< Empty: deleted.
+    std::string text;  ///< Empty: absent or deleted.
   };
+  /// A watch that waits for a change or its timeout.
   struct Watch {
     std::string prefix;
     std::uint64_t since = 0;
     Exchange exchange;
-    std::shared_ptr<boost::asio::steady_timer> limit;
+    std::shared_ptr<boost::asio::steady_timer> timeout;
   };
+  /// Calls within the current second.
   struct RateWindow {
     TimePoint start;
     std::uint32_t count = 0;
@@ -90,8 +94,8 @@
   void handle_control(const Exchange& exchange);
   void handle_set_vms(const Exchange& exchange);
   void answer(const Exchange& exchange, io::HttpResponse answer);
-  void notify(const std::string& key);
-  bool within_rate(RateWindow& window);
+  void notify_watches(const std::string& key);
+  bool is_within_rate(RateWindow& window);
   io::HttpResponse list_answer(const std::string& prefix, std::uint64_t since,
                                bool with_deleted) const;
 
@@ -107,6 +111,7 @@
   Duration delay_{0};
   RateWindow read_rate_;
   RateWindow write_rate_;
+  /// Expires with this object; checked by handlers of timers.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   io::HttpServer server_;
 };
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -18,6 +18,7 @@
 using io::HttpRequest;
 using io::HttpResponse;
 
+/// A request that waits or runs.
 struct BackendServer::Job {
   explicit Job(boost::asio::io_context& io) : timer(io) {}
 
@@ -26,7 +27,7 @@
   SlotId slot;
   Key key;
   Epoch epoch;
-  FrontEpoch front;
+  FrontEpoch front_epoch;
   SlotGrant unit;
   std::size_t execution = 0;  ///< Index in executions_, once started.
   boost::asio::steady_timer timer;
@@ -34,8 +35,9 @@
 
 namespace {
 
-constexpr int kColdFactor = 3;
-constexpr std::size_t kTruncatedBytes = 40;
+/// Requests take this many times longer during the cold start.
+constexpr int kColdStartFactor = 3;
+constexpr std::size_t kTruncatedBodyBytes = 40;
 
 HttpResponse text(int status, std::string body) {
   return {status, {{"Content-Type", "text/plain"}}, std::move(body), false};
@@ -101,7 +103,7 @@
   }
   auto order = codec::decode_grant_order(exchange->request().body);
   if (!ok(order)) return exchange->answer(text(400, error(order).message));
-  GrantReply reply = grants_.obey(value(order), io::steady_now());
+  GrantReply reply = grants_.apply_order(value(order), io::steady_now());
   bool stale = std::holds_alternative<GrantStale>(reply);
   exchange->answer({stale ? 409 : 200,
                     {{"Content-Type", "application/json"}},
@@ -114,7 +116,7 @@
                std::string_view::npos;
   if (crash && options_.crashable && options_.crash) return options_.crash();
   bool full = running_.size() >= options_.concurrency &&
-              waiting_.size() >= options_.queue;
+              waiting_.size() >= options_.queue_limit;
   if (shedding_ || full) return shed(exchange);
   auto job = std::make_shared<Job>(io_);
   job->exchange = exchange;
@@ -124,15 +126,16 @@
       static_cast<std::uint32_t>(header_number(request, "eelgrasspin-slot")));
   job->key = Key(io::percent_decode(header_text(request, "eelgrasspin-key")));
   job->epoch = Epoch(header_number(request, "eelgrasspin-epoch"));
-  job->front = FrontEpoch(header_number(request, "eelgrasspin-front-epoch"));
+  job->front_epoch =
+      FrontEpoch(header_number(request, "eelgrasspin-front-epoch"));
   waiting_.push_back(job);
   exchange->on_abandoned([this, weak = std::weak_ptr(job)] {
-    if (auto gone = weak.lock()) leave(gone);
+    if (auto abandoned = weak.lock()) abandon(abandoned);
   });
-  start_waiting();
+  start_waiting_jobs();
 }
 
-void BackendServer::start_waiting() {
+void BackendServer::start_waiting_jobs() {
   while (!waiting_.empty() && running_.size() < options_.concurrency) {
     std::shared_ptr<Job> job = waiting_.front();
     waiting_.pop_front();
@@ -142,18 +145,18 @@
 
 void BackendServer::start(const std::shared_ptr<Job>& job) {
   if (options_.checks_grants) {
-    auto refused = grants_.refused(job->slot, job->key, job->epoch, job->front,
-                                   io::steady_now());
-    if (refused) {
+    auto refusal_epoch = grants_.refusal_epoch(
+        job->slot, job->key, job->epoch, job->front_epoch, io::steady_now());
+    if (refusal_epoch) {
       HttpResponse answer = text(412, "no grant in force\n");
       answer.headers.emplace_back("eelgrasspin-refused", "grant");
       answer.headers.emplace_back("eelgrasspin-newer-epoch",
-                                  std::to_string(refused->value));
+                                  std::to_string(refusal_epoch->value));
       return job->exchange->answer(std::move(answer));
     }
   }
   job->unit = grants_.unit_of(job->slot, job->key, job->epoch);
-  grants_.started(job->unit);
+  grants_.request_started(job->unit);
   running_.insert(job);
   most_running_ =
       std::max(most_running_, static_cast<std::uint32_t>(running_.size()));
@@ -164,40 +167,41 @@
        header_text(request, "idempotency-key"), job->key.str(), request.method,
        request.target, job->slot, job->epoch, wall_now(), std::nullopt, false});
   if (log_.is_open()) log_ << request.target << std::endl;
-  Duration service_time = work_time();
+  Duration service_time = current_service_time();
   job->timer.expires_after(std::min(service_time, options_.execution_limit));
   job->timer.async_wait([this, job](boost::system::error_code failed) {
     if (!failed) finish(job);
   });
 }
 
-Duration BackendServer::work_time() const {
+Duration BackendServer::current_service_time() const {
   bool cold = io::steady_now() - started_ < options_.cold_start;
-  return cold ? options_.service_time * kColdFactor : options_.service_time;
+  return cold ? options_.service_time * kColdStartFactor
+              : options_.service_time;
 }
 
 void BackendServer::finish(const std::shared_ptr<Job>& job) {
   if (running_.erase(job) == 0) return;
-  grants_.ended(job->unit);
+  grants_.request_ended(job->unit);
   executions_[job->execution].ended = wall_now();
-  if (work_time() > options_.execution_limit) {
+  if (current_service_time() > options_.execution_limit) {
     executions_[job->execution].aborted = true;
-    job->exchange->answer(text(500, "execution limit\n"));
+    job->exchange->answer(text(500, "execution limit exceeded\n"));
   } else {
     answer(*job);
   }
-  start_waiting();
+  start_waiting_jobs();
 }
 
-/// Whoever sent the request has gone: the work is given up.
-void BackendServer::leave(const std::shared_ptr<Job>& job) {
+/// Aborts a request whose sender has closed the connection or cancelled.
+void BackendServer::abandon(const std::shared_ptr<Job>& job) {
   std::erase(waiting_, job);
   if (running_.erase(job) == 0) return;
   job->timer.cancel();
-  grants_.ended(job->unit);
+  grants_.request_ended(job->unit);
   executions_[job->execution].ended = wall_now();
   executions_[job->execution].aborted = true;
-  start_waiting();
+  start_waiting_jobs();
 }
 
 void BackendServer::answer(const Job& job) {
@@ -216,7 +220,7 @@
     return job.exchange->send_raw_and_close(
         "HTTP/1.1 200 OK\r\nContent-Length: " +
         std::to_string(serialized.size()) + "\r\n\r\n" +
-        serialized.substr(0, kTruncatedBytes));
+        serialized.substr(0, kTruncatedBodyBytes));
   }
   job.exchange->answer({200,
                         {{"Content-Type", "application/json"}},
@@ -236,8 +240,8 @@
   std::string line;
   while (std::getline(lines, line)) {
     if (line.empty()) continue;
-    if (auto wrong = apply_control_line(line)) {
-      return exchange->answer(text(400, wrong->message + "\n"));
+    if (auto error_found = apply_control_line(line)) {
+      return exchange->answer(text(400, error_found->message + "\n"));
     }
   }
   exchange->answer(text(200, "ok\n"));
@@ -252,7 +256,7 @@
   auto number = io::parse_number(first);
   bool on = first == "on";
   if (verb == "freeze" && number) {
-    // Blocks every task of the process's one thread, timers included.
+    // Blocks the only thread of the process, and with it all timers.
     auto timer = std::make_shared<boost::asio::steady_timer>(
         io_, std::chrono::milliseconds(20));
     timer->async_wait([timer, pause = milliseconds(*number)](
@@ -278,12 +282,12 @@
 std::string BackendServer::log_text() const {
   std::ostringstream out;
   for (const Execution& item : executions_) {
-    const char* how = "running";
-    if (item.ended) how = item.aborted ? "aborted" : "ended";
+    const char* state = "running";
+    if (item.ended) state = item.aborted ? "aborted" : "ended";
     out << "started_us=" << item.started.time_since_epoch().count()
         << " ended_us="
         << (item.ended ? item.ended->time_since_epoch().count() : 0)
-        << " state=" << how << " server=" << options_.name
+        << " state=" << state << " server=" << options_.name
         << " request=" << item.request
         << " idempotency_key=" << item.idempotency_key
         << " key=" << io::percent_encode(item.key) << " slot=" << item.slot
--- a/src/standin/server.h
+++ b/src/standin/server.h
@@ -23,16 +23,17 @@
 struct ServerOptions {
   ServerName name;
   std::uint32_t concurrency = 2;
-  std::uint32_t queue = 16;  ///< Requests that wait for a place; more are shed.
-  Duration cold_start{0};    ///< Work takes longer for this long.
-  Duration service_time = milliseconds(5);
-  Duration execution_limit = seconds(1);
+  /// Requests that wait for one to end; more are shed.
+  std::uint32_t queue_limit = 16;
+  Duration cold_start{0};  ///< After the start, while requests take longer.
+  Duration service_time = milliseconds(5);  ///< Of each request.
+  Duration execution_limit = seconds(1);    ///< Longer requests are aborted.
   bool checks_grants = true;
   bool crashable = false;  ///< A path with "/crash" ends the process.
-  /// File for a line of each execution as it starts, which outlives the
-  /// process. Empty: none.
+  /// File that gets the path of each request as it starts, so that executions
+  /// can be counted after a crash. Empty: none.
   std::string execution_log_path;
-  /// Ends the process; tests give their own.
+  /// Called to end the process; tests pass their own.
   std::function<void()> crash;
 };
 
@@ -50,7 +51,8 @@
   bool aborted = false;
 };
 
-/// A backend server that keeps state per key and checks grants.
+/// A backend server that checks grants, limits its concurrency, and logs what
+/// it ran.
 class BackendServer {
  public:
   BackendServer(boost::asio::io_context& io, ServerOptions options);
@@ -59,19 +61,23 @@
   std::optional<Error> listen(const Endpoint& endpoint);
   Endpoint bound_endpoint() const { return server_.bound_endpoint(); }
   const std::vector<Execution>& executions() const { return executions_; }
+  /// The highest number of requests that ran at the same time.
   std::uint32_t most_running() const { return most_running_; }
   std::size_t connections() const { return server_.connections(); }
 
   void set_service_time(Duration service_time) {
     options_.service_time = service_time;
   }
+  /// Refuses all requests as shed.
   void set_shedding(bool on) { shedding_ = on; }
+  /// Sends answers with less of the body than announced.
   void set_truncating(bool on) { truncating_ = on; }
-  /// Connections that now exist go silent; new ones work.
+  /// Existing connections stop answering; new ones work.
   void stall_connections() { server_.stall_connections(); }
   /// Stops accepting and closes every connection.
   void close() { server_.close(); }
-  /// One control line; the error says what is wrong with it.
+  /// Applies one line of a /-/control request. Returns an error if it is
+  /// unknown.
   std::optional<Error> apply_control_line(const std::string& line);
 
  private:
@@ -82,13 +88,13 @@
   void handle_grant(const Exchange& exchange);
   void handle_control(const Exchange& exchange);
   void handle_request(const Exchange& exchange);
-  void start_waiting();
+  void start_waiting_jobs();
   void start(const std::shared_ptr<Job>& job);
   void finish(const std::shared_ptr<Job>& job);
-  void leave(const std::shared_ptr<Job>& job);
+  void abandon(const std::shared_ptr<Job>& job);
   void answer(const Job& job);
   void shed(const Exchange& exchange);
-  Duration work_time() const;
+  Duration current_service_time() const;
   std::string log_text() const;
 
   boost::asio::io_context& io_;
