--- a/tests/grants_test.cc
+++ b/tests/grants_test.cc
@@ -6,11 +6,12 @@
 namespace {
 
 const Unit kUnit{SlotId(3), Key()};
-const Duration kLimit = seconds(1);
+const Duration kExecutionLimit = seconds(1);
 
 TimePoint at(int ms) { return TimePoint(milliseconds(ms)); }
 
-/// A front whose grant the server confirmed at 10 ms, one order each 500 ms.
+/// A front of a server that owns one unit. After confirm_grant, the server has
+/// confirmed the grant at 10 ms.
 class GrantsTest : public ::testing::Test {
  protected:
   GrantsTest() {
@@ -19,13 +20,14 @@
     front_.set_version = 1;
   }
 
-  GrantOrder send(int ms) {
+  GrantOrder send_order(int ms) {
     auto order = next_order(front_, DaemonName("gongoni-1"), at(ms));
     EXPECT_TRUE(order.has_value());
     return order.value_or(GrantOrder{});
   }
 
-  void answer(const GrantOrder& order, int ms, std::uint64_t incarnation = 1) {
+  void answer_order(const GrantOrder& order, int ms,
+                    std::uint64_t incarnation = 1) {
     apply_reply(front_, order.sequence,
                 GrantAnswer{.incarnation = Incarnation(incarnation),
                             .front_epoch = front_.epoch,
@@ -35,84 +37,85 @@
                 at(ms));
   }
 
-  void confirm() {
-    answer(send(0), 5);
-    answer(send(6), 10);
+  void confirm_grant() {
+    answer_order(send_order(0), 5);
+    answer_order(send_order(6), 10);
   }
 
   Front front_;
 };
 
 TEST_F(GrantsTest, FirstOrderGrantsNothing) {
-  GrantOrder first = send(0);
+  GrantOrder first = send_order(0);
   EXPECT_EQ(first.echo, 0U);
   EXPECT_TRUE(first.want_inventory);
-  answer(first, 5);
+  answer_order(first, 5);
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(6)));
-  GrantOrder second = send(6);
+  GrantOrder second = send_order(6);
   EXPECT_EQ(second.echo, first.sequence);
-  answer(second, 10);
+  answer_order(second, 10);
   EXPECT_TRUE(may_send(front_, kUnit, Epoch(7), at(11)));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(8), at(11)));
 }
 
 TEST_F(GrantsTest, TermCountsFromTheEchoedAnswer) {
-  confirm();
+  confirm_grant();
   EXPECT_TRUE(may_send(front_, kUnit, Epoch(7), at(5 + 1899)));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(5 + 1900)));
-  GrantOrder late = send(600);
-  answer(late, 5000);
+  GrantOrder late = send_order(600);
+  answer_order(late, 5000);
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(5001)))
       << "the order echoes an answer whose term has passed";
 }
 
 TEST_F(GrantsTest, UnansweredRenewalMovesTheLatestHold) {
-  confirm();
+  confirm_grant();
   EXPECT_EQ(latest_grant_expiry(front_), at(5 + 2100));
-  send(600);
+  send_order(600);
   EXPECT_EQ(latest_grant_expiry(front_), at(10 + 2100));
 }
 
 TEST_F(GrantsTest, ClockJumpProvesNoLapse) {
-  confirm();
-  send(600);
+  confirm_grant();
+  send_order(600);
   discount_pause(front_, seconds(10));
   EXPECT_EQ(latest_grant_expiry(front_), at(10 + 2100 + 10'000));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(10'600)));
 }
 
 TEST_F(GrantsTest, DroppedUnitIsReleasedOnlyWhenApplied) {
-  confirm();
+  confirm_grant();
   drop_unit(front_, kUnit, at(20));
   ++front_.set_version;
-  EXPECT_FALSE(is_released(front_, kUnit, kLimit, at(20)));
-  GrantOrder order = send(20);
+  EXPECT_FALSE(is_released(front_, kUnit, kExecutionLimit, at(20)));
+  GrantOrder order = send_order(20);
   EXPECT_TRUE(order.carries_set);
   EXPECT_TRUE(order.slots.empty());
-  answer(order, 30);
-  EXPECT_TRUE(is_released(front_, kUnit, kLimit, at(30)));
+  answer_order(order, 30);
+  EXPECT_TRUE(is_released(front_, kUnit, kExecutionLimit, at(30)));
 }
 
 TEST_F(GrantsTest, SilentServersUnitIsReleasedAfterItsGrantAndItsWork) {
-  confirm();
+  confirm_grant();
   drop_unit(front_, kUnit, at(20));
   ++front_.set_version;
-  send(20);
-  EXPECT_FALSE(is_released(front_, kUnit, kLimit, at(5 + 2100 + 1000)));
-  EXPECT_TRUE(is_released(front_, kUnit, kLimit, at(5 + 2100 + 1001)));
+  send_order(20);
+  EXPECT_FALSE(
+      is_released(front_, kUnit, kExecutionLimit, at(5 + 2100 + 1000)));
+  EXPECT_TRUE(is_released(front_, kUnit, kExecutionLimit, at(5 + 2100 + 1001)));
 }
 
 TEST_F(GrantsTest, RestartedServerHoldsNothingOfTheOldGrant) {
-  confirm();
-  answer(send(600), 610, 2);
+  confirm_grant();
+  answer_order(send_order(600), 610, 2);
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(611)));
-  answer(send(611), 620, 2);
+  answer_order(send_order(611), 620, 2);
   EXPECT_TRUE(may_send(front_, kUnit, Epoch(7), at(621)));
 }
 
 TEST_F(GrantsTest, HigherFrontEpochStopsThisFront) {
-  confirm();
-  GrantOrder order = send(600);
+  confirm_grant();
+  GrantOrder order = send_order(600);
   apply_reply(front_, order.sequence, GrantStale{FrontEpoch(5)}, at(601));
   EXPECT_FALSE(may_send(front_, kUnit, Epoch(7), at(602)));
   EXPECT_FALSE(
@@ -120,7 +123,7 @@
 }
 
 TEST_F(GrantsTest, LapseIsUnknownWhileAnEarlierFrontMayRenew) {
-  send(0);
+  send_order(0);
   EXPECT_FALSE(latest_grant_expiry(front_).has_value());
   front_.predecessor_stopped = at(100);
   EXPECT_EQ(latest_grant_expiry(front_), at(100 + 2100));
--- a/tests/matrix_test.cc
+++ b/tests/matrix_test.cc
@@ -11,7 +11,7 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-Declarations demo() {
+Declarations read_demo_declarations() {
   std::string path = std::string(std::getenv("EELGRASSPIN_SOURCE")) +
                      "/examples/magarini/demo.ini";
   std::ifstream in(path);
@@ -20,10 +20,11 @@
   return std::get<Declarations>(config::read_declarations(text.str(), path));
 }
 
-/// A front whose clock jumps while its server is frozen must not take the
-/// server's grant as lapsed: the server may wake up within its term.
+/// A front whose clock jumps while its server is frozen must not treat the
+/// server's grant as expired: the server may resume within the grant's term,
+/// beside a second owner.
 TEST(MatrixTest, ClockJumpBesideAFrozenServerGivesNoSecondOwner) {
-  Declarations declarations = demo();
+  Declarations declarations = read_demo_declarations();
   for (const auto& [frozen, server] : declarations.servers) {
     World world = start_deployment(declarations, 1);
     start_probing(world);
@@ -41,9 +42,10 @@
 }
 
 TEST(MatrixTest, RequestCancelledAtAPausedDaemonEndsOnce) {
-  CellResult result = run_cell(demo(), {.operation = Operation::kDrain,
-                                        .fault = Fault::kPauseCoordinator,
-                                        .offset = milliseconds(60)});
+  CellResult result =
+      run_cell(read_demo_declarations(), {.operation = Operation::kDrain,
+                                          .fault = Fault::kPauseCoordinator,
+                                          .offset = milliseconds(60)});
   EXPECT_THAT(result.violations, ::testing::IsEmpty());
   EXPECT_TRUE(result.recovered);
 }
--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -8,28 +8,28 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-Declarations two_zones() {
-  Declarations d;
-  d.deployment = "test";
+Declarations declare_two_zones() {
+  Declarations declarations;
+  declarations.deployment = "test";
   const ServiceName service("panboard");
   for (const char* zone : {"gongoni", "marereni"})
-    d.zones[ZoneName(zone)] = {ZoneName(zone), RegionName("kilifi")};
-  d.services[service] = {.name = service, .key_slots = 16};
-  d.services[service].operations = {
+    declarations.zones[ZoneName(zone)] = {ZoneName(zone), RegionName("kilifi")};
+  declarations.services[service] = {.name = service, .key_slots = 16};
+  declarations.services[service].operations = {
       {"reading", "PUT", "/pans/{key}", ExecutionClass::kIdempotent}};
   int number = 0;
   for (const char* zone : {"gongoni", "gongoni", "marereni"}) {
     ServerName name("panboard-" + std::to_string(++number));
-    d.servers[name] = {.name = name,
-                       .service = service,
-                       .zone = ZoneName(zone),
-                       .address = Endpoint(name.str())};
+    declarations.servers[name] = {.name = name,
+                                  .service = service,
+                                  .zone = ZoneName(zone),
+                                  .address = Endpoint(name.str())};
   }
-  return d;
+  return declarations;
 }
 
 TEST(WorldTest, ServerObeysTheGrantProtocol) {
-  World world = make_world(two_zones(), 1);
+  World world = make_world(declare_two_zones(), 1);
   const DaemonName front("gongoni-1");
   add_daemon(world, front, ZoneName("gongoni"));
   const ServerName server("panboard-1");
