--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -8,28 +8,28 @@
 namespace eelgrasspin::scenario {
 namespace {
 
-Declarations two_zones() {
-  Declarations d;
-  d.deployment = "test";
+Declarations declare_two_zones() {
+  Declarations declarations;
+  declarations.deployment = "test";
   const ServiceName service("panboard");
   for (const char* zone : {"gongoni", "marereni"})
-    d.zones[ZoneName(zone)] = {ZoneName(zone), RegionName("kilifi")};
-  d.services[service] = {.name = service, .key_slots = 16};
-  d.services[service].operations = {
+    declarations.zones[ZoneName(zone)] = {ZoneName(zone), RegionName("kilifi")};
+  declarations.services[service] = {.name = service, .key_slots = 16};
+  declarations.services[service].operations = {
       {"reading", "PUT", "/pans/{key}", ExecutionClass::kIdempotent}};
   int number = 0;
   for (const char* zone : {"gongoni", "gongoni", "marereni"}) {
     ServerName name("panboard-" + std::to_string(++number));
-    d.servers[name] = {.name = name,
-                       .service = service,
-                       .zone = ZoneName(zone),
-                       .address = Endpoint(name.str())};
+    declarations.servers[name] = {.name = name,
+                                  .service = service,
+                                  .zone = ZoneName(zone),
+                                  .address = Endpoint(name.str())};
   }
-  return d;
+  return declarations;
 }
 
 TEST(WorldTest, ServerObeysTheGrantProtocol) {
-  World world = make_world(two_zones(), 1);
+  World world = make_world(declare_two_zones(), 1);
   const DaemonName front("gongoni-1");
   add_daemon(world, front, ZoneName("gongoni"));
   const ServerName server("panboard-1");
@@ -41,23 +41,23 @@
   order.order.set_version = 1;
   order.order.carries_set = true;
   order.order.slots = {{SlotId(3), Key(), Epoch(1)}};
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, milliseconds(10));
   EXPECT_EQ(world.servers.at(server).highest_epoch, FrontEpoch(2));
-  EXPECT_LT(world.servers.at(server).expires, world.now)
+  EXPECT_LT(world.servers.at(server).grant_expiry, world.now)
       << "an order without an echo grants nothing";
   order.order.sequence = 2;
   order.order.echo = 1;
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, milliseconds(10));
-  EXPECT_GT(world.servers.at(server).expires, world.now);
+  EXPECT_GT(world.servers.at(server).grant_expiry, world.now);
   freeze_server(world, server);
   order.order.sequence = 3;
   order.order.echo = 2;
-  execute(world, front, order);
+  execute_effect(world, front, order);
   run_for(world, seconds(10));
   thaw_server(world, server);
-  EXPECT_LT(world.servers.at(server).expires, world.now)
+  EXPECT_LT(world.servers.at(server).grant_expiry, world.now)
       << "a renewal that arrived late extends nothing";
 }
 
