--- a/scripts/check_platform_names.sh
+++ b/scripts/check_platform_names.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Only platform/ may know the platform's names: fails if the product's sources hold one.
+# Only platform/ may contain the platform's names: fails if the product's sources contain one.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='X-Eelgrasspin-|/objects/|"(listeners|clusters|coldLeftS|sloS|timeoutS|holdS|baseVer|maxConns|waitMs)"|getenv.*EELGRASSPIN_CONFIG|platform\.platform|terms\.bounds'
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs a small deployment on loopback: declares, loads, moves, drains, kills a server and a daemon, closes a service,
-# and compares what callers were told with what the backend servers ran.
+# and compares the outcomes that callers received with what the backend servers ran.
 #   --topology magarini|ocsa   which deployment (magarini)
 #   --serve                    leave it running after the declarations are in force; Ctrl-C ends it
 #   --no-build                 use build/bin as it is
@@ -138,7 +138,7 @@
 targets=()
 for name in "${daemons[@]}"; do targets+=(--target "${callers[$name]}"); done
 
-# load NAME SECONDS RATE [options]: in the background, one outcome a request in NAME.record.
+# load NAME SECONDS RATE [options]: runs in the background and writes the outcome of each request to NAME.record.
 load() {
   local name=$1 length=$2 rate=$3
   shift 3
@@ -151,14 +151,14 @@
   --idempotency-keys
 sleep 2
 
-# A slot moves to another server of its zone.
+# Moves a slot to another server of its zone.
 read -r _ unit_word slot zone owner _ < <(eelctl owner of "$first" "${prefix}7" | tail -n 1)
 [ "$unit_word" = slot ] || fail "owner of ${prefix}7 not shown"
 target=$(awk -v s="$first" -v z="$zone" -v o="$owner" '$2 == s && $3 == z && $1 != o {print $1; exit}' <<<"$servers")
 eelctl --wait --wait-limit 30s move "$first" slot "$slot" to "$target" >&2 || fail "the move did not finish"
 eelctl owner of "$first" "${prefix}7" | tail -n 1 | grep -q " $target " || fail "the slot is not at $target"
 
-# A server is drained, another one is killed, then a daemon.
+# Drains a server, kills another one, then a daemon.
 mine=$(awk -v s="$first" -v z="${zones[0]}" '$2 == s && $3 == z {print $1}' <<<"$servers")
 drained=$(sed -n 1p <<<"$mine")
 killed=$(sed -n 2p <<<"$mine")
@@ -173,7 +173,7 @@
 kill -9 "${pids[$lost_daemon]}"
 wait_for 30 "recovery after the loss of $lost_daemon" all_owned "$first" || true
 
-# A service is closed while it is under load.
+# Closes a service while it is under load.
 eelctl --wait --wait-limit 90s close service "$second" deadline 60s reason "season ended" >&2 \
   || fail "the closure was not sealed"
 wait "${pids[first]}" "${pids[second]}" || fail "the load failed: $(cat "$work"/*.err)"
@@ -200,7 +200,7 @@
   moves=$((moves + $(metric "${operators[$name]}" moves_finished_total || echo 0)))
 done
 
-# Callers' outcomes against the backend servers' own logs, request by request.
+# Compares callers' outcomes with the logs of the backend servers, request by request.
 for name in $(awk '{print $1}' <<<"$servers"); do [ -f "$work/$name.log" ] && cat "$work/$name.log"; done \
   | sed -n 's/.*[?&]mark=\([^ &]*\).*/\1/p' | sort | uniq -c | awk '{print $2, $1}' >"$work/executed"
 sed 's/^/1 /' "$work/first.record" >"$work/told"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs clang-tidy over the project's sources in parallel. A file whose own text, project headers, compile flags
-# and lint settings are those of an earlier clean run is passed over.
+# and lint settings are unchanged since an earlier clean run is skipped.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export CACHE="${XDG_CACHE_HOME:-$HOME/.cache}/eelgrasspin-lint"
