--- a/src/standin/platform.cc
+++ b/src/standin/platform.cc
@@ -92,7 +92,7 @@
   if (path == "/vms") return handle_vms(exchange);
   bool writes = request.method == "PUT";
   if (!is_within_rate(writes ? write_rate_ : read_rate_)) {
-    return exchange->answer(text(429, "rate limit exceeded\n"));
+    return exchange->answer(text(429, "too many calls\n"));
   }
   if (path == "/list") return handle_list(exchange);
   if (path == "/watch") return handle_watch(exchange);
@@ -131,8 +131,7 @@
   const HttpRequest& request = exchange->request();
   auto expected = io::number_header(request.headers, "if-version");
   if (!expected || request.body.size() > kMaxValueBytes) {
-    return exchange->answer(
-        text(400, "If-Version missing or value too large\n"));
+    return exchange->answer(text(400, "If-Version missing or value too big\n"));
   }
   Value& value = values_[key];
   // A deleted key matches version 0, and the version of its deletion.
@@ -189,8 +188,7 @@
   std::string prefix = io::query_parameter(target, "prefix");
   auto since = io::parse_number(io::query_parameter(target, "since"));
   auto wait = io::parse_number(io::query_parameter(target, "wait_ms"));
-  if (!since || !wait)
-    return exchange->answer(text(400, "since or wait_ms is not a number\n"));
+  if (!since || !wait) return exchange->answer(text(400, "bad watch\n"));
   for (auto it = values_.lower_bound(prefix);
        it != values_.end() && it->first.starts_with(prefix); ++it) {
     if (it->second.version > *since) {
@@ -262,7 +260,7 @@
   std::string word;
   while (lines >> name >> word) {
     auto state = parse_vm_state(word);
-    if (!state) return exchange->answer(text(400, "unknown VM state\n"));
+    if (!state) return exchange->answer(text(400, "unknown state\n"));
     set_vm(name, *state);
   }
   exchange->answer(text(200, "ok\n"));
--- a/src/standin/server.cc
+++ b/src/standin/server.cc
@@ -186,7 +186,7 @@
   executions_[job->execution].ended = wall_now();
   if (current_service_time() > options_.execution_limit) {
     executions_[job->execution].aborted = true;
-    job->exchange->answer(text(500, "execution limit exceeded\n"));
+    job->exchange->answer(text(500, "execution limit\n"));
   } else {
     answer(*job);
   }
