--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -28,7 +28,7 @@
 
 int write_report_page(const Options& options, const CommandAnswer& answer) {
   if (write_file(options.html_file, report_page(answer))) {
-    std::cout << "report written to " << options.html_file << "\n";
+    std::cout << "written: " << options.html_file << "\n";
     return kDone;
   }
   std::cerr << "eelctl: cannot write " << options.html_file << "\n";
